--- a/apps/capacity/CoreWorld.cpp
+++ b/apps/capacity/CoreWorld.cpp
@@ -103,7 +103,7 @@
         vms_[vm].core = std::make_unique<node::Core>(settings);
         node::Actions actions;
         vms_[vm].core->start(now_, actions);
-        carryOut(vm, actions);
+        execute(vm, actions);
         deliver(vm, node::VmListRead { listed });
     }
 }
@@ -153,7 +153,7 @@
     if (vm == measured) {
         watch_.stop();
     }
-    carryOut(vm, actions);
+    execute(vm, actions);
 }
 
 void CoreWorld::deliverInbox(std::size_t vm)
@@ -289,7 +289,7 @@
     }
 }
 
-void CoreWorld::carryOut(std::size_t vm, node::Actions& actions)
+void CoreWorld::execute(std::size_t vm, node::Actions& actions)
 {
     for (auto& action : actions) {
         if (auto* append = std::get_if<node::Append>(&action)) {
--- a/apps/capacity/CoreWorld.h
+++ b/apps/capacity/CoreWorld.h
@@ -89,7 +89,7 @@
     void startCores();
     void step();
     void deliver(std::size_t vm, const node::Event& event);
-    void carryOut(std::size_t vm, node::Actions& actions);
+    void execute(std::size_t vm, node::Actions& actions);
     void on(std::size_t vm, node::Append& append);
     void on(std::size_t vm, node::SendPeer& send);
     void deliverRecords(std::size_t vm);
--- a/apps/capacity/HolderAxes.cpp
+++ b/apps/capacity/HolderAxes.cpp
@@ -29,8 +29,8 @@
         explicit Pair(std::size_t budgets)
         {
             sample_.addBudgets(budgets);
-            surroundings_.logReachable = true;
-            surroundings_.witness = witnessId;
+            environment_.logReachable = true;
+            environment_.witness = witnessId;
         }
 
         void start()
@@ -50,9 +50,9 @@
         void tick()
         {
             now_ += tickPeriod;
-            ledger::MoneyActions actions;
-            holder_->onTick(now_, surroundings_, actions);
-            carryOut(actions);
+            ledger::LedgerActions actions;
+            holder_->onTick(now_, environment_, actions);
+            execute(actions);
             land();
         }
 
@@ -64,14 +64,14 @@
     private:
         void serve(const BudgetRef& budget)
         {
-            ledger::MoneyActions actions;
+            ledger::LedgerActions actions;
             const RequestKey key = requestKey(++requests_);
             auto result = holder_->reserve(budget, key, requestCost, now_, actions);
             if (const auto* reservation = std::get_if<ledger::Reservation>(&result)) {
                 holder_->settle(*reservation, requestCost, actions);
                 ++served_;
             }
-            carryOut(actions);
+            execute(actions);
         }
 
         /** What was appended is read back. */
@@ -80,15 +80,15 @@
             while (!waiting_.empty()) {
                 const auto effects = sample_.append(holderId, std::exchange(waiting_, {}));
                 for (const auto& effect : effects) {
-                    ledger::MoneyActions actions;
+                    ledger::LedgerActions actions;
                     holder_->onEffect(effect, now_, actions);
                     witness_->onEffect(effect, actions);
-                    carryOut(actions);
+                    execute(actions);
                 }
             }
         }
 
-        void carryOut(ledger::MoneyActions& actions)
+        void execute(ledger::LedgerActions& actions)
         {
             for (std::size_t index = 0; index < actions.size(); ++index) {
                 if (auto* append = std::get_if<ledger::AppendEntry>(&actions[index])) {
@@ -109,7 +109,7 @@
         LedgerSample sample_;
         std::unique_ptr<ledger::Holder> holder_;
         std::unique_ptr<ledger::Witness> witness_;
-        ledger::Surroundings surroundings_;
+        ledger::HolderEnvironment environment_;
         std::vector<ledger::Entry> waiting_;
         Instant now_ { 1h };
         std::size_t requests_ = 0;
@@ -205,7 +205,7 @@
             }
             const Meter meter;
             ledger::Witness witness(Incarnation { firstRouter.value() + 1 }, sample.fold());
-            ledger::MoneyActions actions;
+            ledger::LedgerActions actions;
             witness.onRaise(firstRouter, ceilings, actions);
             const double raised = meter.microseconds();
             actions = {};
--- a/apps/router/CoreDecider.cpp
+++ b/apps/router/CoreDecider.cpp
@@ -42,7 +42,7 @@
     void speakPlatform(const settings::RouterSettings& settings, node::CoreSettings& core)
     {
         core.fleetCodec = std::make_shared<platform::ConfigCodec>();
-        core.ledger.checkpoints = node::CheckpointPlace::Apart;
+        core.ledger.checkpoints = node::CheckpointPlace::SeparateStream;
         core.ledger.checkpointInterval
             = std::min<Duration>(settings.ledger.retention / checkpointsInRetention, longestCheckpointInterval);
         core.ledger.readPause = ledgerReadPause;
@@ -63,10 +63,10 @@
     core.seeds = settings.peers.seeds;
     core.ledgerShards = settings.ledger.shards;
     core.seed = seed;
-    core.moneyPolicy = settings::toText(settings.ledger.policy);
+    core.holdingPolicy = settings::toText(settings.ledger.policy);
     core.splitWays = settings.ledger.splitWays;
     core.routingPolicy = settings::toText(settings.routing);
-    core.stockPercent = settings.ledger.stockPercent;
+    core.preallocationPercent = settings.ledger.preallocationPercent;
     if (settings.ledger.highWatermark > Duration::zero()) {
         core.watermarks
             = ledger::Watermarks { seconds(settings.ledger.lowWatermark), seconds(settings.ledger.highWatermark) };
--- a/apps/router/RouterProcess.cpp
+++ b/apps/router/RouterProcess.cpp
@@ -28,9 +28,9 @@
     constexpr auto backendConnectTime = 200ms;
     /** At about 1 ms a decision on a quarter of a core, a tenth of a second's work: a third of the shortest objective.
      */
-    constexpr std::size_t mostDecisionsWaiting = 100;
+    constexpr std::size_t maxDecisionsWaiting = 100;
     /** As long again in the sockets. */
-    constexpr auto mostLag = 100ms;
+    constexpr auto maxLag = 100ms;
     /** A third of the 120 ms within which an event has to be with its caller. */
     constexpr auto streamReadInterval = 40ms;
     /** At 1 ms a request on a tenth of a core, half a second's work: callers wait for a second at most to be read, and
@@ -80,7 +80,7 @@
         return std::make_shared<transport::NativeLogDialect>();
     }
 
-    std::shared_ptr<const transport::PassageDialect> passageDialect(const settings::RouterSettings& settings)
+    std::shared_ptr<const transport::ProxyDialect> proxyDialect(const settings::RouterSettings& settings)
     {
         return speaksPlatform(settings) ? std::make_shared<platform::HttpDialect>() : nullptr;
     }
@@ -90,8 +90,8 @@
         transport::StreamLimits limits;
         if (speaksPlatform(settings)) {
             limits.connectTime = backendConnectTime;
-            limits.mostDecisionsWaiting = mostDecisionsWaiting;
-            limits.mostLag = mostLag;
+            limits.maxDecisionsWaiting = maxDecisionsWaiting;
+            limits.maxLag = maxLag;
             limits.acceptBacklog = acceptBacklog;
             limits.linkBytesPerSecond = static_cast<std::uint64_t>(settings.vm.bandwidth * bytesPerMegabit);
             limits.readInterval = streamReadInterval;
@@ -142,7 +142,7 @@
     , decisions_(transport::decisionRingCapacity)
     , journal_(toLogSettings(settings))
     , metrics_(traffic_)
-    , streams_(toStreamLimits(settings), decisions_, metrics_, journal_, passageDialect(settings))
+    , streams_(toStreamLimits(settings), decisions_, metrics_, journal_, proxyDialect(settings))
     , log_(toLogClientSettings(settings), logDialect(settings), decisions_, traffic_)
     , peers_(toPeerSettings(settings), decisions_, traffic_, journal_)
     , platform_(toPlatformSettings(settings), decisions_, traffic_)
--- a/apps/router/RouterProcess.h
+++ b/apps/router/RouterProcess.h
@@ -5,7 +5,7 @@
 
 #include "swiftlift/base/Finding.h"
 #include "swiftlift/settings/RouterSettings.h"
-#include "swiftlift/transport/ActionCarrier.h"
+#include "swiftlift/transport/ActionExecutor.h"
 #include "swiftlift/transport/DecisionLoop.h"
 
 namespace swiftlift::router {
@@ -42,7 +42,7 @@
     transport::PeerLinks peers_;
     transport::PlatformClient platform_;
     transport::OperatorServer operators_;
-    transport::ActionCarrier carrier_;
+    transport::ActionExecutor carrier_;
     transport::DecisionLoop loop_;
 };
 
--- a/include/swiftlift/config/ConfigFold.h
+++ b/include/swiftlift/config/ConfigFold.h
@@ -37,7 +37,7 @@
 };
 
 /** Records to pass on to a peer, in order from `first`. */
-struct KeptRecords {
+struct RetainedRecords {
     Offset first;
     std::vector<std::string> records;
 };
@@ -102,7 +102,7 @@
      * @param maxBytes Bound of the answer; one record is given in any case.
      * @return Records from `from` on, or this fold's state when they are no longer kept; empty when there is nothing.
      */
-    [[nodiscard]] KeptRecords recordsFrom(Offset from, std::size_t maxBytes) const;
+    [[nodiscard]] RetainedRecords recordsFrom(Offset from, std::size_t maxBytes) const;
 
     /** @return A snapshot of the present state, to be appended. */
     [[nodiscard]] std::string snapshot() const;
--- a/include/swiftlift/config/Fwd.h
+++ b/include/swiftlift/config/Fwd.h
@@ -2,7 +2,7 @@
 
 namespace swiftlift::config {
 
-struct KeptRecords;
+struct RetainedRecords;
 struct PublishRequest;
 struct ServiceRevision;
 
--- a/include/swiftlift/fleet/FleetConfig.h
+++ b/include/swiftlift/fleet/FleetConfig.h
@@ -48,7 +48,7 @@
     /** Longest pause between two events that is still on time. */
     Duration pauseObjective = std::chrono::seconds(1);
     /** Backend servers on which one request may run. */
-    std::uint32_t mostServers = 1;
+    std::uint32_t maxServers = 1;
     /** 0 is the most urgent. */
     std::uint32_t urgency = 0;
     std::vector<Target> targets;
--- a/include/swiftlift/fleet/RouteTable.h
+++ b/include/swiftlift/fleet/RouteTable.h
@@ -39,7 +39,7 @@
     [[nodiscard]] static ServiceName target(const Route& route, std::uint64_t draw);
 
     /** @return Whether callers need keys at all. */
-    [[nodiscard]] bool keysNeeded() const noexcept { return !config_.accounts.empty(); }
+    [[nodiscard]] bool requiresKeys() const noexcept { return !config_.accounts.empty(); }
 
     [[nodiscard]] const FleetConfig& config() const noexcept { return config_; }
 
--- a/include/swiftlift/ledger/CheckpointTurns.h
+++ b/include/swiftlift/ledger/CheckpointSchedule.h
@@ -18,13 +18,13 @@
  * whose `as_of` is far behind. Drawn at random, the first over one round and each later one over two, turns of the
  * fleet come an interval apart in the mean from the start on.
  */
-class CheckpointTurns {
+class CheckpointSchedule {
 public:
     /**
      * @param interval Between two checkpoints of the fleet.
      * @param seed Of the draws.
      */
-    CheckpointTurns(Duration interval, std::uint64_t seed);
+    CheckpointSchedule(Duration interval, std::uint64_t seed);
 
     /**
      * @param routers Of the fleet, as far as is known; at least 1.
--- a/include/swiftlift/ledger/Fold.h
+++ b/include/swiftlift/ledger/Fold.h
@@ -71,14 +71,14 @@
     std::uint64_t sequence = 0;
 };
 /**
- * `admitted` is zero when refused; `shortBy` is what was wanted and not available. Of the two reasons to refuse, only a
- * broken rule comes with a `Refused` as well; a budget that is short does not.
+ * `admitted` is zero when refused; `shortfall` is what was wanted and not available. Of the two reasons to refuse, only
+ * a broken rule comes with a `Refused` as well; a budget that is short does not.
  */
 struct DrawDecided {
     GrantId grant;
     BudgetRef budget;
     Tokens admitted;
-    Tokens shortBy;
+    Tokens shortfall;
     Incarnation witness;
 };
 struct GrantChanged {
--- a/include/swiftlift/ledger/Holder.h
+++ b/include/swiftlift/ledger/Holder.h
@@ -44,7 +44,7 @@
 };
 
 /** What the policy is told of the world, each tick. */
-struct Surroundings {
+struct HolderEnvironment {
     bool logReachable = false;
     bool stopping = false;
     /** The fold has reached the log's end: what it reads from now on is news. */
@@ -65,7 +65,7 @@
     GrantId grant;
     Tokens ceiling;
     /** The holder may tell callers of bills that nobody else knows of, so the witness must never close this grant. */
-    bool alone = false;
+    bool holderOnly = false;
 
     [[nodiscard]] bool operator==(const Ceiling&) const = default;
 };
@@ -94,7 +94,7 @@
     GrantId grant;
     Tokens amount;
     /** As Ceiling::alone, of the lender's grant. */
-    bool alone = false;
+    bool holderOnly = false;
 };
 struct SendLoanDenied {
     Incarnation to;
@@ -112,7 +112,7 @@
     std::uint64_t loan = 0;
 };
 /** More money can be reserved from this budget than before: waiting requests may be tried again. */
-struct MoneyArrived {
+struct TokensAvailable {
     BudgetRef budget;
 };
 /** The ledger has retired this incarnation, or a prefix has a hole: the process has to go on under a new one. */
@@ -120,9 +120,9 @@
     std::string reason;
 };
 
-using MoneyAction = std::variant<AppendEntry, SendRaise, SendCeilingsAcked, SendCeilingsRefused, SendLoanAsk,
-    SendLoanGiven, SendLoanDenied, SendLoanDone, SendLoanDoneAcked, MoneyArrived, Retired>;
-using MoneyActions = std::vector<MoneyAction>;
+using LedgerAction = std::variant<AppendEntry, SendRaise, SendCeilingsAcked, SendCeilingsRefused, SendLoanAsk,
+    SendLoanGiven, SendLoanDenied, SendLoanDone, SendLoanDoneAcked, TokensAvailable, Retired>;
+using LedgerActions = std::vector<LedgerAction>;
 
 /** One grant as its holder, or one loan as its borrower sees it; for operators and audits. */
 struct HoldingView {
@@ -172,7 +172,7 @@
      * @param amount More than zero.
      */
     [[nodiscard]] std::variant<Reservation, Shortage> reserve(
-        const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, MoneyActions& actions);
+        const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions);
     /** @brief The request with this key was refused for good: it waits no more, and doesn't count as demand. */
     void withdraw(const BudgetRef& budget, RequestKey key, Instant now);
     /** @return The largest amount that one request could be given now. */
@@ -181,34 +181,34 @@
      * @brief Bills what the request did cost and frees the rest.
      * @param actual Not above the reservation's amount; zero bills nothing.
      */
-    void settle(const Reservation& reservation, Tokens actual, MoneyActions& actions);
+    void settle(const Reservation& reservation, Tokens actual, LedgerActions& actions);
     /** The request was never run: nothing is billed. */
-    void release(const Reservation& reservation, MoneyActions& actions);
+    void release(const Reservation& reservation, LedgerActions& actions);
 
     /** Holds the policy's share of this budget from now on, also before anybody asks for it. */
-    void stock(const BudgetRef& budget);
+    void preallocate(const BudgetRef& budget);
     /** Which of the two measures weighs more for this budget; the policy's own weighting until told. */
     void setWeighting(const BudgetRef& budget, Weighting weighting);
     /** @return Whether nobody else can close the grant behind the reservation: its bill will count when it lands. */
-    [[nodiscard]] bool answersAlone(const Reservation& reservation) const;
+    [[nodiscard]] bool isHolderOnly(const Reservation& reservation) const;
     /** @return Whether a loan of this holder's is on the grant. */
     [[nodiscard]] bool borrowsFrom(const GrantId& grant) const;
 
     /** Takes each effect of the fold, in order. */
-    void onEffect(const Effect& effect, Instant now, MoneyActions& actions);
-    void onCeilingsAcked(Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, MoneyActions& actions);
-    void onCeilingsRefused(Incarnation from, const std::vector<GrantId>& grants, Instant now, MoneyActions& actions);
+    void onEffect(const Effect& effect, Instant now, LedgerActions& actions);
+    void onCeilingsAcked(Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, LedgerActions& actions);
+    void onCeilingsRefused(Incarnation from, const std::vector<GrantId>& grants, Instant now, LedgerActions& actions);
     void onLoanAsk(Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now,
-        MoneyActions& actions);
+        LedgerActions& actions);
     void onLoanGiven(Incarnation from, std::uint64_t loan, const BudgetRef& budget, GrantId grant, Tokens amount,
-        Instant now, MoneyActions& actions, bool alone = false);
-    void onLoanDenied(
-        Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens free, Instant now, MoneyActions& actions);
+        Instant now, LedgerActions& actions, bool holderOnly = false);
+    void onLoanDenied(Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens free, Instant now,
+        LedgerActions& actions);
     /** @param billed Sum of the bill entries that the borrower emitted on this loan, counted or not. */
-    void onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, MoneyActions& actions);
-    void onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, MoneyActions& actions);
+    void onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions);
+    void onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions& actions);
     /** Comes at least every 50 ms: repeats, draws, returns and closes. */
-    void onTick(Instant now, const Surroundings& surroundings, MoneyActions& actions);
+    void onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions);
 
     /** @return Whether no grant is open or in flight and no loan is unfinished; reached after stopping or retirement.
      */
--- a/include/swiftlift/ledger/HoldingPolicy.h
+++ b/include/swiftlift/ledger/HoldingPolicy.h
@@ -29,7 +29,7 @@
     /** In place of those of the weighting. */
     std::optional<Watermarks> watermarks;
     /** Part of a budget, in percent, that the routers together draw before any demand has been seen. */
-    std::uint32_t stockPercent = 0;
+    std::uint32_t preallocationPercent = 0;
     /** False in a fleet whose witnesses only seal: a bill of a grant counts whenever it lands. */
     bool witnessesClose = true;
 };
@@ -63,7 +63,7 @@
     Tokens available;
     bool logReachable = false;
     /** Part of the budget is to be held here though demand has not been seen for long enough to go by it. */
-    bool stocked = false;
+    bool preallocated = false;
     /** Routers of the fleet that live, as far as is known, this one included. */
     std::uint32_t routers = 1;
     /** Incarnations known to hold part of this budget, this one included. */
--- a/include/swiftlift/ledger/Witness.h
+++ b/include/swiftlift/ledger/Witness.h
@@ -29,11 +29,11 @@
     Witness(const Witness& other, const Fold& fold);
 
     /** A holder asks to spend up to these ceilings. Repeats are acknowledged again. */
-    void onRaise(Incarnation from, const std::vector<Ceiling>& ceilings, MoneyActions& actions);
+    void onRaise(Incarnation from, const std::vector<Ceiling>& ceilings, LedgerActions& actions);
     /** Stops acknowledging this holder for good, and seals each of its open grants that name this witness. */
-    void suspect(Incarnation holder, MoneyActions& actions);
+    void suspect(Incarnation holder, LedgerActions& actions);
     /** Takes each effect of the fold, in order. */
-    void onEffect(const Effect& effect, MoneyActions& actions);
+    void onEffect(const Effect& effect, LedgerActions& actions);
 
     /** @return Grants that are sealed under this witness, not closed, and that it never promised not to close. */
     [[nodiscard]] std::vector<GrantId> sealed() const;
@@ -42,7 +42,7 @@
     [[nodiscard]] std::string stateText() const;
 
 private:
-    void seal(const GrantView& grant, MoneyActions& actions);
+    void seal(const GrantView& grant, LedgerActions& actions);
 
     Incarnation self_;
     const Fold* fold_;
@@ -50,7 +50,7 @@
     std::map<GrantId, Tokens> acknowledged_;
     std::set<Incarnation> suspected_;
     /** Grants that this witness has promised never to close. */
-    std::set<GrantId> alone_;
+    std::set<GrantId> holderOnly_;
     /** Grants for which a seal was appended under the present tenure. */
     std::set<GrantId> sealing_;
 };
--- a/include/swiftlift/membership/Membership.h
+++ b/include/swiftlift/membership/Membership.h
@@ -58,16 +58,16 @@
      * @return Whom to give copies that must outlive this router's whole failure domain: a peer beyond it. Stays the
      * same as long as that peer is fit.
      */
-    [[nodiscard]] std::optional<Incarnation> distantKeeper() const noexcept { return distantKeeper_.peer; }
+    [[nodiscard]] std::optional<Incarnation> remoteReplica() const noexcept { return remoteReplica_.peer; }
 
     /**
      * @return Whom to give them as well: another peer beyond the failure domain, in a domain other than the first
      * keeper's where there is one.
      */
-    [[nodiscard]] std::optional<Incarnation> secondKeeper() const noexcept { return secondKeeper_.peer; }
+    [[nodiscard]] std::optional<Incarnation> secondRemoteReplica() const noexcept { return secondRemoteReplica_.peer; }
 
     /** @return True when VMs beyond the failure domain are known, whether or not one is heard now. */
-    [[nodiscard]] bool knowsDistantVms() const;
+    [[nodiscard]] bool knowsRemoteVms() const;
 
     /** @return True when peers have had the time to be heard: before, a missing witness may just be unknown. */
     [[nodiscard]] bool settled() const noexcept { return settled_; }
@@ -146,14 +146,14 @@
     void forgetOld(Instant now);
     void settle(Instant now);
     void chooseWitness(Instant now);
-    void chooseDistantKeepers(Instant now);
+    void chooseRemoteReplicas(Instant now);
     /** @return The nearest fit peer beyond the failure domain but the keeper, of another domain than its where
      * possible.
      */
-    [[nodiscard]] std::optional<Incarnation> bestSecondKeeper() const;
+    [[nodiscard]] std::optional<Incarnation> bestSecondRemoteReplica() const;
     /** @return The less, the better a second keeper the peer is: its distance, and whether it shares the first one's
      * domain. */
-    [[nodiscard]] std::pair<int, bool> secondKeeperCost(Incarnation peer) const;
+    [[nodiscard]] std::pair<int, bool> secondRemoteReplicaCost(Incarnation peer) const;
     void answer(const PeerAddress& address, Instant now);
     void planAnswers(Instant now, MembershipActions& actions);
     void planHeartbeats(Instant now, MembershipActions& actions);
@@ -191,8 +191,8 @@
     Rotation distantRotation_;
     std::vector<MembershipEvent> events_;
     Chosen witness_;
-    Chosen distantKeeper_;
-    Chosen secondKeeper_;
+    Chosen remoteReplica_;
+    Chosen secondRemoteReplica_;
     std::optional<Instant> firstTick_;
     Instant lastTick_ {};
     /** No silence counts from before this moment. */
--- a/include/swiftlift/membership/MembershipSettings.h
+++ b/include/swiftlift/membership/MembershipSettings.h
@@ -37,13 +37,13 @@
      */
     std::uint32_t domainPerPeriod = 6;
     /** Heartbeats per period to peers beyond the failure domain, in turn. */
-    std::uint32_t distantPerPeriod = 2;
+    std::uint32_t remotePerPeriod = 2;
     /** A peer's word that it reaches the log counts for this long: two periods, in which a dozen and more peers speak
      * in a large fleet, and half of what an outage takes to be noticed by a router itself. */
     Duration logWordLifetime = std::chrono::seconds(1);
     WitnessPolicy witnessPolicy = WitnessPolicy::OtherDomainWhenAlone;
     /** Whether a peer beyond the failure domain is chosen to keep copies; its heartbeats cost bytes between domains. */
-    bool distantKeeper = false;
+    bool remoteReplica = false;
 };
 
 } // namespace swiftlift::membership
--- a/include/swiftlift/node/Action.h
+++ b/include/swiftlift/node/Action.h
@@ -10,8 +10,8 @@
 #include "swiftlift/base/Ids.h"
 #include "swiftlift/base/Units.h"
 #include "swiftlift/node/Event.h"
-#include "swiftlift/node/Passage.h"
 #include "swiftlift/node/PeerMessage.h"
+#include "swiftlift/node/ProxyRequest.h"
 #include "swiftlift/request/Outcome.h"
 
 namespace swiftlift::node {
@@ -73,7 +73,7 @@
     Duration pause {};
 };
 /** The next read of a followed stream waits no longer: something that it brings is waited for here. */
-struct ReadSoon {
+struct ExpediteRead {
     StreamName stream;
 };
 struct SendPeer {
@@ -133,8 +133,8 @@
     std::string reason;
 };
 
-using Action = std::variant<Dispatch, CancelAttempt, Reply, Append, Follow, ReadSoon, SendPeer, WatchBackends,
-    SendOrder, LogLine, CountMetric, GaugeMetric, OperatorReply, StopReady, Restart, PassOn, PassFailureOn,
+using Action = std::variant<Dispatch, CancelAttempt, Reply, Append, Follow, ExpediteRead, SendPeer, WatchBackends,
+    SendOrder, LogLine, CountMetric, GaugeMetric, OperatorReply, StopReady, Restart, ProxyDispatch, ProxyFailureReply,
     AnnounceReadiness, SetCallerLimits>;
 using Actions = std::vector<Action>;
 
--- a/include/swiftlift/node/Core.h
+++ b/include/swiftlift/node/Core.h
@@ -24,7 +24,7 @@
     /** Among the records of the ledger's own stream. */
     InStream,
     /** In a keyed stream of their own, which outlasts the ledger's oldest records. */
-    Apart,
+    SeparateStream,
 };
 
 /** How the ledger's stream is written and read. */
@@ -53,13 +53,13 @@
     std::uint32_t ledgerShards = 1;
     std::uint64_t seed = 1;
     /** `grants` (default), `static_split` or `append_per_request`: how budgets are held. */
-    std::string moneyPolicy = "grants";
+    std::string holdingPolicy = "grants";
     /** Of `static_split`: into how many equal parts a budget is split. */
     std::uint32_t splitWays = 8;
     /** Of `grants`: in place of the figures that the services' weightings name. */
     std::optional<ledger::Watermarks> watermarks;
     /** Of `grants`: part of each budget, in percent, that the routers together hold before there is demand. */
-    std::uint32_t stockPercent = 0;
+    std::uint32_t preallocationPercent = 0;
     LedgerPace ledger;
     /** `affinity` (default), `rendezvous`, `random`, `round_robin` or `least_load`. */
     std::string routingPolicy = "affinity";
--- a/include/swiftlift/node/Event.h
+++ b/include/swiftlift/node/Event.h
@@ -10,8 +10,8 @@
 #include "swiftlift/base/Priority.h"
 #include "swiftlift/base/Units.h"
 #include "swiftlift/node/KeyedRecords.h"
-#include "swiftlift/node/Passage.h"
 #include "swiftlift/node/PeerMessage.h"
+#include "swiftlift/node/ProxyRequest.h"
 #include "swiftlift/request/Outcome.h"
 
 namespace swiftlift::node {
@@ -48,7 +48,7 @@
     CallerRequest request;
 };
 /** The caller's connection is gone; nothing more can be told it. */
-struct CallerGone {
+struct CallerDisconnected {
     CallId call;
 };
 using request::AttemptEnd;
@@ -144,8 +144,9 @@
     std::string argument;
 };
 
-using Event = std::variant<RequestArrived, CallerGone, AttemptProgress, AttemptEnded, LogRecords, LogExpired,
+using Event = std::variant<RequestArrived, CallerDisconnected, AttemptProgress, AttemptEnded, LogRecords, LogExpired,
     LogUnreachable, AppendAnswered, PeerReceived, VmListRead, BackendLoad, CacheEventsRead, OrderAnswered, Tick,
-    StopRequested, OperatorAsked, KeyedRecords, PassageArrived, PassageProgress, PassageEnded, PassageAbandoned>;
+    StopRequested, OperatorAsked, KeyedRecords, ProxyRequestArrived, ProxyAttemptProgress, ProxyAttemptEnded,
+    ProxyRequestAbandoned>;
 
 } // namespace swiftlift::node
--- a/include/swiftlift/node/Fwd.h
+++ b/include/swiftlift/node/Fwd.h
@@ -4,7 +4,7 @@
 
 struct CallerRequest;
 struct KeyedRecords;
-struct PassageFacts;
+struct ProxyRequestInfo;
 struct Envelope;
 
 class Core;
--- a/include/swiftlift/node/PeerMessage.h
+++ b/include/swiftlift/node/PeerMessage.h
@@ -44,7 +44,7 @@
     GrantId grant;
     Tokens amount;
     /** As ledger::Ceiling::alone, of the lender's grant. */
-    bool alone = false;
+    bool holderOnly = false;
 };
 struct LoanDenied {
     std::uint64_t loan = 0;
--- a/include/swiftlift/node/Passage.h
+++ b/include/swiftlift/node/ProxyRequest.h
@@ -20,7 +20,7 @@
 };
 
 /** What routing and money have to know of a request. */
-struct PassageFacts {
+struct ProxyRequestInfo {
     /** The caller's id of this one attempt; another attempt has another id. */
     std::string id;
     std::string host;
@@ -39,21 +39,21 @@
 };
 
 /** A caller's request has come whole. */
-struct PassageArrived {
+struct ProxyRequestArrived {
     CallId call;
-    PassageFacts facts;
+    ProxyRequestInfo facts;
     /** When it had come: its caller's time runs from then on, also while it waits to be looked at. */
     Instant at {};
 };
 
 /** Events of the answer have been passed on to the caller. */
-struct PassageProgress {
+struct ProxyAttemptProgress {
     AttemptId attempt;
     std::uint64_t events = 0;
 };
 
 /** How an attempt to have a request run by a backend server ended. */
-enum class PassageEnd : std::uint8_t {
+enum class ProxyAttemptEnd : std::uint8_t {
     /** The whole answer has been written to the caller. */
     Completed,
     /** The backend server could not be reached: nothing was sent. */
@@ -68,9 +68,9 @@
     Broken,
 };
 
-struct PassageEnded {
+struct ProxyAttemptEnded {
     AttemptId attempt;
-    PassageEnd end = PassageEnd::Broken;
+    ProxyAttemptEnd end = ProxyAttemptEnd::Broken;
     /** Of the answer; 0 when there was none. */
     int status = 0;
     /** Events of the answer that the caller has been given, those of earlier attempts included. */
@@ -82,14 +82,14 @@
 };
 
 /** The caller's connection is gone: it has left, or its stream was cut. Nothing is passed on to it any more. */
-struct PassageAbandoned {
+struct ProxyRequestAbandoned {
     CallId call;
     /** Events that it has been given. */
     std::uint64_t events = 0;
 };
 
 /** Have the request run by a backend server, and pass its answer on. */
-struct PassOn {
+struct ProxyDispatch {
     CallId call;
     AttemptId attempt;
     /** The life of the server that is meant. */
@@ -109,7 +109,7 @@
 };
 
 /** The final word to a caller is the failure that its backend server answered with. */
-struct PassFailureOn {
+struct ProxyFailureReply {
     CallId call;
 };
 
--- a/include/swiftlift/placement/Fwd.h
+++ b/include/swiftlift/placement/Fwd.h
@@ -9,7 +9,7 @@
 struct Need;
 struct Order;
 struct PlannerSettings;
-struct Tenure;
+struct LeaseTerm;
 
 class LeaseFold;
 class OrderLease;
--- a/include/swiftlift/placement/LeaseFold.h
+++ b/include/swiftlift/placement/LeaseFold.h
@@ -9,7 +9,7 @@
 namespace swiftlift::placement {
 
 /** Who has the lease by the log; whether it still holds is for clocks to say. */
-struct Tenure {
+struct LeaseTerm {
     Incarnation holder;
     /** Offset of the claim that began the tenure, plus one: grows from tenure to tenure. */
     std::uint64_t fencing = 0;
@@ -35,18 +35,21 @@
     void restart(Offset oldest);
 
     /** @return Nothing when nobody ever claimed, or when the tenure is not known. */
-    [[nodiscard]] const std::optional<Tenure>& tenure() const noexcept { return tenure_; }
+    [[nodiscard]] const std::optional<LeaseTerm>& leaseTerm() const noexcept { return leaseTerm_; }
     /** @return True when claims that this reader has not seen, or can't judge, may have won. */
-    [[nodiscard]] bool unknown() const noexcept { return !tenure_ && bound_ > 0; }
+    [[nodiscard]] bool unknown() const noexcept { return !leaseTerm_ && bound_ > 0; }
     /** @return What a claim has to name now. */
-    [[nodiscard]] std::uint64_t replaces() const noexcept { return tenure_ ? tenure_->claim.value() + 1 : bound_; }
+    [[nodiscard]] std::uint64_t replaces() const noexcept
+    {
+        return leaseTerm_ ? leaseTerm_->claim.value() + 1 : bound_;
+    }
     [[nodiscard]] Offset nextOffset() const noexcept { return next_; }
 
 private:
     [[nodiscard]] std::uint64_t fencingOf(Offset offset, const Claim& claim) const;
 
     Offset next_;
-    std::optional<Tenure> tenure_;
+    std::optional<LeaseTerm> leaseTerm_;
     /** While the tenure is unknown: any claim that may have won lies before this offset. */
     std::uint64_t bound_ = 0;
 };
--- a/include/swiftlift/placement/OrderLease.h
+++ b/include/swiftlift/placement/OrderLease.h
@@ -79,18 +79,18 @@
     [[nodiscard]] std::optional<Claim> due(bool eligible, Instant now);
 
     /** @return True when an order may be sent now. To be asked just before each one. */
-    [[nodiscard]] bool mayOrder(Instant now) const noexcept;
+    [[nodiscard]] bool mayIssueOrders(Instant now) const noexcept;
     /** @return When orders sent by this router lose their cover; nothing when it may send none. */
     [[nodiscard]] std::optional<Instant> until() const noexcept;
     /** @return Of the present tenure, whosever it is; 0 when it is not known. */
-    [[nodiscard]] std::uint64_t fencing() const noexcept { return fold_.tenure() ? fold_.tenure()->fencing : 0; }
+    [[nodiscard]] std::uint64_t fencing() const noexcept { return fold_.leaseTerm() ? fold_.leaseTerm()->fencing : 0; }
     [[nodiscard]] const LeaseFold& fold() const noexcept { return fold_; }
     /** @return What changed since the last call. */
     [[nodiscard]] std::vector<LeaseChange> takeChanges();
 
 private:
     void onClaim(Offset offset, const Claim& claim, Instant now);
-    void noteTenure(const std::optional<Tenure>& before);
+    void noteLeaseTerm(const std::optional<LeaseTerm>& before);
     void noteLapse(Instant now);
     void change(LeaseChangeKind kind);
     [[nodiscard]] bool own() const noexcept;
--- a/include/swiftlift/quarantine/Fwd.h
+++ b/include/swiftlift/quarantine/Fwd.h
@@ -2,12 +2,12 @@
 
 namespace swiftlift::quarantine {
 
-struct Confinement;
+struct QuarantineEntry;
 struct Fingerprint;
 struct QuarantineLimits;
 struct Report;
 struct ReportId;
-struct ServerLife;
+struct BackendInstance;
 
 class Quarantine;
 class ReportOutbox;
--- a/include/swiftlift/quarantine/Quarantine.h
+++ b/include/swiftlift/quarantine/Quarantine.h
@@ -17,21 +17,21 @@
 /** Bounds of what a router remembers of requests under which backend servers ended. */
 struct QuarantineLimits {
     /** Backend servers that may end under a request before it is sent to no more. */
-    std::size_t mostServersEnded = 3;
+    std::size_t maxServersEnded = 3;
     /** How long a report counts. */
     Duration lifetime = std::chrono::hours(1);
     /** An answer given so lately shows that a request is harmless, whatever ended beside it. */
     Duration answerLifetime = std::chrono::seconds(30);
     /** Requests under suspicion; past that, the one under which the fewest servers ended is forgotten. */
-    std::size_t mostSuspects = 4096;
+    std::size_t maxSuspects = 4096;
     /** Answered requests that are remembered. */
-    std::size_t mostAnswered = 4096;
+    std::size_t maxAnswered = 4096;
     /** Reports that are remembered; past that, the oldest that names no request lost with several servers goes. */
-    std::size_t mostReports = 4096;
+    std::size_t maxReports = 4096;
 };
 
 /** Why a request is sent to no backend server, and until when. */
-struct Confinement {
+struct QuarantineEntry {
     std::size_t serversEnded = 0;
     Instant until {};
 };
@@ -55,11 +55,11 @@
     void onAnswered(const Fingerprint& request, Instant now);
 
     /** @return Why the request must not be sent; nothing: it may. */
-    [[nodiscard]] std::optional<Confinement> confinement(const Fingerprint& request) const;
+    [[nodiscard]] std::optional<QuarantineEntry> quarantineEntry(const Fingerprint& request) const;
     /** @return Lives of backend servers that ended under the request, as far as is known. */
     [[nodiscard]] std::size_t serversEnded(const Fingerprint& request) const;
     /** @return True when the request was answered here a moment ago. */
-    [[nodiscard]] bool answeredLately(const Fingerprint& request, Instant now) const;
+    [[nodiscard]] bool answeredRecently(const Fingerprint& request, Instant now) const;
 
     [[nodiscard]] bool knows(const ReportId& id) const { return reports_.contains(id); }
     [[nodiscard]] std::size_t suspects() const noexcept { return suspects_.size(); }
@@ -75,7 +75,7 @@
 
     /** What is known against one request. */
     struct Suspect {
-        std::map<ServerLife, Ended> ended;
+        std::map<BackendInstance, Ended> ended;
         Instant lastReport {};
     };
 
--- a/include/swiftlift/quarantine/Report.h
+++ b/include/swiftlift/quarantine/Report.h
@@ -20,12 +20,12 @@
 };
 
 /** One life of a backend server, from its start to its end. */
-struct ServerLife {
+struct BackendInstance {
     BackendId server;
     /** As it registered; 0 where each life has an id of its own. */
     std::uint64_t startedAt = 0;
 
-    [[nodiscard]] auto operator<=>(const ServerLife&) const = default;
+    [[nodiscard]] auto operator<=>(const BackendInstance&) const = default;
 };
 
 /** Names a report for good. */
@@ -42,7 +42,7 @@
     ReportId id;
     std::vector<Fingerprint> requests;
     /** The requests were lost with it; nothing: they were answered, and earlier reports on them hold no more. */
-    std::optional<ServerLife> lostWith;
+    std::optional<BackendInstance> failedInstance;
 };
 
 /** @return The report's key in its keyed stream. */
--- a/include/swiftlift/quarantine/ReportOutbox.h
+++ b/include/swiftlift/quarantine/ReportOutbox.h
@@ -34,7 +34,7 @@
     explicit ReportOutbox(Incarnation self);
 
     /** @return What to report of the request, as far as it is gathered yet. */
-    [[nodiscard]] Report onLost(const Fingerprint& request, const ServerLife& life, Instant now);
+    [[nodiscard]] Report onRequestLost(const Fingerprint& request, const BackendInstance& instance, Instant now);
     /** @return The report that acquits the request. */
     [[nodiscard]] Report onAnswered(const Fingerprint& request, Instant now);
     /**
@@ -43,7 +43,8 @@
      * @param longest Reports of losses longer before that are left alone.
      * @return Own reports that were wrong; they are dropped.
      */
-    [[nodiscard]] std::vector<ReportId> onAlive(const ServerLife& life, Instant at, Duration longest = Duration::max());
+    [[nodiscard]] std::vector<ReportId> onInstanceAlive(
+        const BackendInstance& instance, Instant at, Duration longest = Duration::max());
     /** Writes another router's report as well, unless it is read before. */
     void adopt(const Report& report, Instant at);
     /** Drops the report from the log, if nobody else has by then. */
@@ -84,7 +85,7 @@
     /** An own report of a loss that may still turn out to be wrong. */
     struct Doubtful {
         ReportId id;
-        ServerLife life;
+        BackendInstance instance;
         Instant lostAt {};
     };
 
@@ -95,7 +96,7 @@
 
     Incarnation self_;
     std::uint64_t lastNumber_ = 0;
-    std::map<ServerLife, Gathering> gathering_;
+    std::map<BackendInstance, Gathering> gathering_;
     std::map<ReportId, Pending> pending_;
     std::deque<Doubtful> doubtful_;
     /** An append that was given up may still land after its report was dropped. */
--- a/include/swiftlift/request/RequestTable.h
+++ b/include/swiftlift/request/RequestTable.h
@@ -75,9 +75,9 @@
     [[nodiscard]] Arrival arrive(const RequestKey& key, CallId call, std::uint32_t attempt, bool idempotent);
 
     /** This process has not run for a while: what callers of requests in progress did meanwhile is not known. */
-    void doubtInProgress();
+    void markInProgressHistoryUnknown();
     /** The request may have been asked for elsewhere in between. */
-    void doubt(const RequestKey& key);
+    void markHistoryUnknown(const RequestKey& key);
 
     /** The claim of a non-idempotent request is on its way to the log. */
     void claimSent(const RequestKey& key);
--- a/include/swiftlift/routing/Admission.h
+++ b/include/swiftlift/routing/Admission.h
@@ -11,7 +11,7 @@
 
 namespace swiftlift::routing {
 
-enum class Verdict : std::uint8_t {
+enum class AdmissionVerdict : std::uint8_t {
     /** Send it to a backend server now. */
     Dispatch,
     /** It waits; pop() will give it. */
@@ -30,8 +30,8 @@
     Overloaded,
 };
 
-struct Admitted {
-    Verdict verdict = Verdict::Refuse;
+struct AdmissionDecision {
+    AdmissionVerdict verdict = AdmissionVerdict::Refuse;
     AdmissionRefusal refusal = AdmissionRefusal::None;
     /** Of a refusal. */
     Duration retryAfter {};
@@ -51,7 +51,7 @@
      * @param call The request.
      * @param firstToken Predicted first token at the chosen backend server; nothing when all are full.
      */
-    [[nodiscard]] Admitted admit(const WaitingCall& call, std::optional<Duration> firstToken, Instant now);
+    [[nodiscard]] AdmissionDecision admit(const WaitingCall& call, std::optional<Duration> firstToken, Instant now);
 
     /** @brief Tells what a first token took at a backend server, to know what a waiting call still needs. */
     void onFirstToken(Duration took);
--- a/include/swiftlift/routing/BackendFacts.h
+++ b/include/swiftlift/routing/BackendFacts.h
@@ -16,7 +16,7 @@
     /** Requests it runs at once; 0: not told, to be learnt from its reports. */
     std::uint32_t slots = 0;
     /** Differs from one life of it to the next; 0: not told. */
-    std::uint64_t life = 0;
+    std::uint64_t instance = 0;
 };
 
 /** What a backend server says of itself, with a lag. */
--- a/include/swiftlift/routing/DomainReach.h
+++ b/include/swiftlift/routing/DomainReachability.h
@@ -20,15 +20,15 @@
  * reached one after the other, with nothing of the domain reached between, are enough to prefer the others for a
  * moment.
  */
-class DomainReach {
+class DomainReachability {
 public:
-    void onReached(const FailureDomain& domain);
-    void onUnreached(const FailureDomain& domain, const BackendId& backend, Instant now);
+    void onBackendReached(const FailureDomain& domain);
+    void onBackendUnreachable(const FailureDomain& domain, const BackendId& backend, Instant now);
 
     /** @return Whether the domain is to be passed over while others have a usable backend server. */
-    [[nodiscard]] bool doubts(const FailureDomain& domain, Instant now) const;
+    [[nodiscard]] bool seemsUnreachable(const FailureDomain& domain, Instant now) const;
     /** @return Domains to be passed over while others have a usable backend server. */
-    [[nodiscard]] std::set<FailureDomain> doubtful(Instant now) const;
+    [[nodiscard]] std::set<FailureDomain> unreachableDomains(Instant now) const;
 
 private:
     /** One server alone may be down; of two, the way to them is the likelier cause. */
--- a/include/swiftlift/routing/Fwd.h
+++ b/include/swiftlift/routing/Fwd.h
@@ -8,7 +8,7 @@
 
 class Admission;
 class BackendTable;
-class DomainReach;
+class DomainReachability;
 class FairQueue;
 class RetryBudget;
 class Selector;
--- a/include/swiftlift/routing/Intake.h
+++ b/include/swiftlift/routing/LoadShedder.h
@@ -10,7 +10,7 @@
 namespace swiftlift::routing {
 
 /** How far behind a router is at the moment at which a request was read. */
-struct IntakeLoad {
+struct ObservedLoad {
     /** How late its own timers come. */
     Duration lag {};
     /** Requests that wait to be decided on. */
@@ -19,8 +19,8 @@
     bool callerLeft = false;
 };
 
-enum class IntakeVerdict : std::uint8_t {
-    TakeIn,
+enum class LoadShedVerdict : std::uint8_t {
+    Accept,
     /** Refuse at once: it would make all others later. */
     Refuse,
     /** Nobody waits for it: no work at all. */
@@ -28,11 +28,11 @@
 };
 
 /** Bounds of what a router takes in. */
-struct IntakeLimits {
+struct LoadShedderLimits {
     /** Zero: any. */
-    Duration mostLag {};
+    Duration maxLag {};
     /** Zero: any. */
-    std::size_t mostWaiting = 0;
+    std::size_t maxWaiting = 0;
     /** What the VM's link carries each way, in bytes a second. Zero: not known. */
     std::uint64_t linkBytesPerSecond = 0;
 };
@@ -58,14 +58,14 @@
  * notices by `connect: timeout` for servers of all domains at one VM. So a router that knows its link's bandwidth says
  * that it is not ready before the link is full, and refuses what comes once it is.
  */
-class Intake {
+class LoadShedder {
 public:
-    explicit Intake(IntakeLimits limits);
+    explicit LoadShedder(LoadShedderLimits limits);
 
     /** To be told a few times a second. */
     void onTraffic(const LinkTraffic& traffic, Instant now);
 
-    [[nodiscard]] IntakeVerdict onRequest(const IntakeLoad& load, Instant now);
+    [[nodiscard]] LoadShedVerdict onRequest(const ObservedLoad& load, Instant now);
 
     /** @return Whether more callers should be sent here. */
     [[nodiscard]] bool ready(Instant now);
@@ -87,7 +87,7 @@
     /** The link is judged over this time: shorter, a few large requests would count as much as a flood. */
     static constexpr Duration linkWindow = std::chrono::milliseconds(500);
 
-    [[nodiscard]] IntakeVerdict verdictOn(const IntakeLoad& load) const;
+    [[nodiscard]] LoadShedVerdict verdictOn(const ObservedLoad& load) const;
     void forget(Instant now);
     [[nodiscard]] bool linkBeyond(std::uint64_t percent) const;
 
@@ -96,7 +96,7 @@
         bool turnedAway = false;
     };
 
-    IntakeLimits limits_;
+    LoadShedderLimits limits_;
     std::deque<Seen> seen_;
     std::size_t turnedAway_ = 0;
     Instant pausedUntil_ {};
--- a/include/swiftlift/routing/Selector.h
+++ b/include/swiftlift/routing/Selector.h
@@ -33,7 +33,7 @@
     /** Tried already, for this request. */
     std::set<BackendId> excluded;
     /** Failure domains that seem out of reach: used when nothing else is left. */
-    std::set<FailureDomain> doubtful;
+    std::set<FailureDomain> unreachableDomains;
 };
 
 /** A backend server that was weighed, with its figures. */
@@ -55,7 +55,7 @@
     /** The breaker's one probe. */
     bool probe = false;
     /** The shared part of the prompt is taken not to be cached there: it has to be read as well. */
-    bool readsShared = false;
+    bool prefillsSharedPart = false;
 };
 
 enum class NoChoice : std::uint8_t {
@@ -125,7 +125,7 @@
         /** Kept back by their breakers, though they answer. */
         std::vector<BackendView> heldBack;
         /** Usable, but in a domain that seems out of reach. */
-        std::vector<BackendView> doubtful;
+        std::vector<BackendView> unreachableDomains;
         /** How many can't be used, by reason. */
         std::map<std::string, int> unusable;
         std::optional<Instant> usableAt;
--- a/include/swiftlift/settings/RouterSettings.h
+++ b/include/swiftlift/settings/RouterSettings.h
@@ -58,7 +58,7 @@
     Duration lowWatermark {};
     Duration highWatermark {};
     /** Of `grants`: part of each budget that the routers together hold before there is demand. */
-    std::uint32_t stockPercent = 0;
+    std::uint32_t preallocationPercent = 0;
     /** How long the log keeps records. */
     Duration retention = std::chrono::minutes(10);
     /** How long bills wait for company before they are appended; 0: the longer, the more routers there are. */
--- a/include/swiftlift/transport/ActionCarrier.h
+++ b/include/swiftlift/transport/ActionExecutor.h
@@ -27,11 +27,11 @@
 };
 
 /** Hands each of the core's actions to the thread whose duty it is. Lives in the decision thread. */
-class ActionCarrier : public ActionSink {
+class ActionExecutor : public ActionSink {
 public:
-    explicit ActionCarrier(Duties duties);
+    explicit ActionExecutor(Duties duties);
 
-    void carryOut(node::Action&& action) override;
+    void execute(node::Action&& action) override;
     void flush() override;
     void beginIncarnation(Incarnation incarnation) override;
 
@@ -44,7 +44,7 @@
     void take(node::Reply&& action);
     void take(node::Append&& action);
     void take(node::Follow&& action);
-    void take(const node::ReadSoon& action);
+    void take(const node::ExpediteRead& action);
     void take(node::SendPeer&& action);
     void take(node::WatchBackends&& action);
     void take(node::SendOrder&& action);
@@ -54,8 +54,8 @@
     void take(node::OperatorReply&& action);
     void take(node::StopReady&& action);
     void take(node::Restart&& action);
-    void take(node::PassOn&& action);
-    void take(const node::PassFailureOn& action);
+    void take(node::ProxyDispatch&& action);
+    void take(const node::ProxyFailureReply& action);
     void take(const node::AnnounceReadiness& action);
     void take(const node::SetCallerLimits& action);
 
--- a/include/swiftlift/transport/ActionSink.h
+++ b/include/swiftlift/transport/ActionSink.h
@@ -13,7 +13,7 @@
     ActionSink(const ActionSink&) = delete;
     ActionSink& operator=(const ActionSink&) = delete;
 
-    virtual void carryOut(node::Action&& action) = 0;
+    virtual void execute(node::Action&& action) = 0;
 
     /** Called after each round of decisions: hands over what found a full ring. */
     virtual void flush() = 0;
--- a/include/swiftlift/transport/EventSplitter.h
+++ b/include/swiftlift/transport/EventSplitter.h
@@ -24,8 +24,8 @@
  */
 class EventSplitter {
 public:
-    /** @param mostBytes Of one event. */
-    explicit EventSplitter(std::size_t mostBytes);
+    /** @param maxBytes Of one event. */
+    explicit EventSplitter(std::size_t maxBytes);
 
     void add(std::string_view bytes) { waiting_ += bytes; }
 
@@ -36,10 +36,10 @@
     [[nodiscard]] bool partial() const noexcept { return taken_ < waiting_.size(); }
 
     /** @return Whether an event is larger than any may be. */
-    [[nodiscard]] bool tooLarge() const noexcept { return waiting_.size() - taken_ > mostBytes_; }
+    [[nodiscard]] bool tooLarge() const noexcept { return waiting_.size() - taken_ > maxBytes_; }
 
 private:
-    std::size_t mostBytes_;
+    std::size_t maxBytes_;
     std::string waiting_;
     std::size_t taken_ = 0;
 };
--- a/include/swiftlift/transport/LogDialect.h
+++ b/include/swiftlift/transport/LogDialect.h
@@ -45,7 +45,7 @@
     Offset from;
     /** How long the log may hold an empty answer back. */
     std::chrono::milliseconds wait { 0 };
-    std::uint32_t mostRecords = 500;
+    std::uint32_t maxRecords = 500;
 };
 
 /** How a log service is spoken to: its paths, its bodies, its refusals. Translates and decides nothing. */
--- a/include/swiftlift/transport/PassageDialect.h
+++ b/include/swiftlift/transport/ProxyDialect.h
@@ -6,7 +6,7 @@
 #include <variant>
 
 #include "swiftlift/node/Action.h"
-#include "swiftlift/node/Passage.h"
+#include "swiftlift/node/ProxyRequest.h"
 #include "swiftlift/transport/HeaderFields.h"
 
 namespace swiftlift::transport {
@@ -24,15 +24,15 @@
 };
 
 /** How callers and backend servers say what concerns routing: names of headers. Translates and decides nothing. */
-class PassageDialect {
+class ProxyDialect {
 public:
-    PassageDialect() = default;
-    virtual ~PassageDialect() = default;
-    PassageDialect(const PassageDialect&) = delete;
-    PassageDialect& operator=(const PassageDialect&) = delete;
+    ProxyDialect() = default;
+    virtual ~ProxyDialect() = default;
+    ProxyDialect(const ProxyDialect&) = delete;
+    ProxyDialect& operator=(const ProxyDialect&) = delete;
 
     /** @return What the core has to know of a request; the refusal of one that says too little or too much. */
-    [[nodiscard]] virtual std::variant<node::PassageFacts, node::Reply> facts(const RequestHead& request) const = 0;
+    [[nodiscard]] virtual std::variant<node::ProxyRequestInfo, node::Reply> facts(const RequestHead& request) const = 0;
 
     /**
      * @param fields What the caller sent, without what concerned its connection alone.
@@ -41,7 +41,7 @@
      * @return What the backend server is sent.
      */
     [[nodiscard]] virtual HeaderFields towardsBackend(
-        const HeaderFields& fields, const node::PassOn& order, std::optional<std::uint64_t> lastEvent) const = 0;
+        const HeaderFields& fields, const node::ProxyDispatch& order, std::optional<std::uint64_t> lastEvent) const = 0;
 
     [[nodiscard]] virtual AnswerMarks marks(const AnswerHead& answer) const = 0;
 
--- a/include/swiftlift/transport/StreamServer.h
+++ b/include/swiftlift/transport/StreamServer.h
@@ -11,7 +11,7 @@
 #include "swiftlift/logging/JsonLog.h"
 #include "swiftlift/node/Action.h"
 #include "swiftlift/transport/Endpoint.h"
-#include "swiftlift/transport/PassageDialect.h"
+#include "swiftlift/transport/ProxyDialect.h"
 #include "swiftlift/transport/TaggedEvent.h"
 
 namespace swiftlift::transport {
@@ -23,7 +23,7 @@
 
 /** What the decision thread asks of the streams thread. */
 using StreamCommand = std::variant<node::Dispatch, node::CancelAttempt, node::Reply, node::OperatorReply,
-    BeginIncarnation, node::PassOn, node::PassFailureOn, node::AnnounceReadiness, node::SetCallerLimits>;
+    BeginIncarnation, node::ProxyDispatch, node::ProxyFailureReply, node::AnnounceReadiness, node::SetCallerLimits>;
 
 /** Bit that tells callers' questions from operators'. */
 inline constexpr std::uint64_t callersQuestion = std::uint64_t { 1 } << 63U;
@@ -58,9 +58,9 @@
     /** Of a dispatch that names no limit of its own. */
     std::chrono::milliseconds defaultSilence { 30'000 };
     /** Events that may wait for the decision thread before new requests are refused; 0: as many as its ring holds. */
-    std::size_t mostDecisionsWaiting = 0;
+    std::size_t maxDecisionsWaiting = 0;
     /** The streams thread may be late by so much before new requests are refused; zero: by any time. */
-    std::chrono::milliseconds mostLag { 0 };
+    std::chrono::milliseconds maxLag { 0 };
     /** What the VM's link carries each way; 0: not known. */
     std::uint64_t linkBytesPerSecond = 0;
     std::chrono::milliseconds operatorTime { 2'000 };
@@ -115,7 +115,7 @@
      * @param dialect Set: requests are passed on as they came. Null: the project's own protocol is spoken.
      */
     StreamServer(StreamLimits limits, DecisionInbox& decisions, StreamObserver& observer, logging::JsonLog& log,
-        std::shared_ptr<const PassageDialect> dialect = nullptr);
+        std::shared_ptr<const ProxyDialect> dialect = nullptr);
     ~StreamServer();
     StreamServer(const StreamServer&) = delete;
     StreamServer& operator=(const StreamServer&) = delete;
--- a/src/config/Snapshot.cpp
+++ b/src/config/Snapshot.cpp
@@ -131,7 +131,7 @@
     }
 }
 
-KeptRecords ConfigFold::recordsFrom(Offset from, std::size_t maxBytes) const
+RetainedRecords ConfigFold::recordsFrom(Offset from, std::size_t maxBytes) const
 {
     if (from >= next_) {
         return { next_, {} };
@@ -140,7 +140,7 @@
     if (from.value() < keptFirst) {
         return { Offset { next_.value() - 1 }, { snapshot() } };
     }
-    KeptRecords answer { from, {} };
+    RetainedRecords answer { from, {} };
     std::size_t bytes = 0;
     for (std::size_t i = from.value() - keptFirst; i < kept_.size(); ++i) {
         bytes += kept_[i].size();
--- a/src/ledger/CheckpointTurns.cpp
+++ b/src/ledger/CheckpointSchedule.cpp
@@ -1,14 +1,14 @@
-#include "swiftlift/ledger/CheckpointTurns.h"
+#include "swiftlift/ledger/CheckpointSchedule.h"
 
 namespace swiftlift::ledger {
 
-CheckpointTurns::CheckpointTurns(Duration interval, std::uint64_t seed)
+CheckpointSchedule::CheckpointSchedule(Duration interval, std::uint64_t seed)
     : interval_(interval)
     , random_(seed)
 {
 }
 
-bool CheckpointTurns::due(Instant now, std::uint32_t routers)
+bool CheckpointSchedule::due(Instant now, std::uint32_t routers)
 {
     if (!next_) {
         next_ = draw(now, interval_ * routers);
@@ -20,7 +20,7 @@
     return true;
 }
 
-Instant CheckpointTurns::draw(Instant now, Duration longest)
+Instant CheckpointSchedule::draw(Instant now, Duration longest)
 {
     std::uniform_int_distribution<Duration::rep> turn(0, longest.count());
     return now + Duration { turn(random_) };
--- a/src/ledger/FoldRules.cpp
+++ b/src/ledger/FoldRules.cpp
@@ -123,10 +123,10 @@
     const Tokens available = refusal ? none : state_.books.available(entry.budget);
     const Tokens offered = std::min(entry.wanted, available);
     const Tokens admitted = offered >= std::max(entry.least, Tokens { 1 }) ? offered : none;
-    const Tokens shortBy = std::max(std::max(entry.wanted, none) - state_.books.available(entry.budget), none);
+    const Tokens shortfall = std::max(std::max(entry.wanted, none) - state_.books.available(entry.budget), none);
     if (admitted > none)
         admit(entry, admitted);
-    effects_.emplace_back(DrawDecided { entry.grant, entry.budget, admitted, shortBy, entry.witness });
+    effects_.emplace_back(DrawDecided { entry.grant, entry.budget, admitted, shortfall, entry.witness });
     if (admitted > none)
         effects_.emplace_back(BudgetChanged { entry.budget });
     return refusal;
@@ -238,7 +238,8 @@
     // S7: with less than what the holder may have spent, the freed rest would be spent twice.
     const Tokens reached = std::max({ entry.ceiling, grant->floor, grant->billed });
     state_.books.seal(*grant, std::min(reached, grant->amount));
-    // S9: a draw that the dead holder had in flight may still land. Admitted, it would hold money that nobody spends.
+    // S9: a draw that the dead holder had in flight may still land. AdmissionDecision, it would hold money that nobody
+    // spends.
     state_.origins.at(grant->id.holder).retired = true;
     changed(*grant);
     return {};
--- a/src/ledger/Holder.cpp
+++ b/src/ledger/Holder.cpp
@@ -21,7 +21,7 @@
 Holder& Holder::operator=(Holder&&) noexcept = default;
 
 std::variant<Reservation, Shortage> Holder::reserve(
-    const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, MoneyActions& actions)
+    const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions)
 {
     return book_->reserve(budget, key, amount, now, actions);
 }
@@ -30,70 +30,72 @@
 
 Tokens Holder::spendable(const BudgetRef& budget) const { return book_->spendable(budget); }
 
-void Holder::settle(const Reservation& reservation, Tokens actual, MoneyActions& actions)
+void Holder::settle(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     book_->settle(reservation, actual, actions);
 }
 
-void Holder::stock(const BudgetRef& budget) { book_->stock(budget); }
+void Holder::preallocate(const BudgetRef& budget) { book_->preallocate(budget); }
 
 void Holder::setWeighting(const BudgetRef& budget, Weighting weighting) { book_->setWeighting(budget, weighting); }
 
-bool Holder::answersAlone(const Reservation& reservation) const { return book_->answersAlone(reservation); }
+bool Holder::isHolderOnly(const Reservation& reservation) const { return book_->isHolderOnly(reservation); }
 
 bool Holder::borrowsFrom(const GrantId& grant) const { return book_->borrowsFrom(grant); }
 
-void Holder::release(const Reservation& reservation, MoneyActions& actions)
+void Holder::release(const Reservation& reservation, LedgerActions& actions)
 {
     book_->settle(reservation, Tokens {}, actions);
 }
 
-void Holder::onEffect(const Effect& effect, Instant now, MoneyActions& actions)
+void Holder::onEffect(const Effect& effect, Instant now, LedgerActions& actions)
 {
     book_->onEffect(effect, now, actions);
 }
 
-void Holder::onCeilingsAcked(Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, MoneyActions& actions)
+void Holder::onCeilingsAcked(
+    Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, LedgerActions& actions)
 {
     book_->onCeilingsAcked(from, ceilings, now, actions);
 }
 
-void Holder::onCeilingsRefused(Incarnation from, const std::vector<GrantId>& grants, Instant now, MoneyActions& actions)
+void Holder::onCeilingsRefused(
+    Incarnation from, const std::vector<GrantId>& grants, Instant now, LedgerActions& actions)
 {
     book_->onCeilingsRefused(from, grants, now, actions);
 }
 
 void Holder::onLoanAsk(
-    Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, MoneyActions& actions)
+    Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, LedgerActions& actions)
 {
     book_->onLoanAsk(from, loan, budget, amount, now, actions);
 }
 
 void Holder::onLoanGiven(Incarnation from, std::uint64_t loan, const BudgetRef&, GrantId grant, Tokens amount,
-    Instant now, MoneyActions& actions, bool alone)
+    Instant now, LedgerActions& actions, bool holderOnly)
 {
-    book_->onLoanGiven(from, loan, grant, amount, alone, now, actions);
+    book_->onLoanGiven(from, loan, grant, amount, holderOnly, now, actions);
 }
 
 void Holder::onLoanDenied(
-    Incarnation from, std::uint64_t loan, const BudgetRef&, Tokens free, Instant now, MoneyActions& actions)
+    Incarnation from, std::uint64_t loan, const BudgetRef&, Tokens free, Instant now, LedgerActions& actions)
 {
     book_->onLoanDenied(from, loan, free, now, actions);
 }
 
-void Holder::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, MoneyActions& actions)
+void Holder::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions)
 {
     book_->onLoanDone(from, loan, billed, now, actions);
 }
 
-void Holder::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, MoneyActions& actions)
+void Holder::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions& actions)
 {
     book_->onLoanDoneAcked(from, loan, now, actions);
 }
 
-void Holder::onTick(Instant now, const Surroundings& surroundings, MoneyActions& actions)
+void Holder::onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions)
 {
-    book_->onTick(now, surroundings, actions);
+    book_->onTick(now, environment, actions);
 }
 
 bool Holder::drained() const { return book_->drained(); }
--- a/src/ledger/HolderBook.cpp
+++ b/src/ledger/HolderBook.cpp
@@ -52,12 +52,12 @@
 {
     std::ostringstream out;
     out << "holder " << self_ << " at " << now_.time_since_epoch().count() << " retired " << retired_ << " reading "
-        << author_ << " last " << lastGrant_ << ' ' << lastLoan_ << " log " << surroundings_.logReachable
-        << surroundings_.stopping << " witness " << surroundings_.witness.value_or(Incarnation {}) << " since "
+        << author_ << " last " << lastGrant_ << ' ' << lastLoan_ << " log " << environment_.logReachable
+        << environment_.stopping << " witness " << environment_.witness.value_or(Incarnation {}) << " since "
         << witnessSince_.time_since_epoch().count() << " silent " << silentWitness_ << " until "
         << silentUntil_.time_since_epoch().count() << " draws take " << drawTook_.count() << " caught up "
-        << surroundings_.caughtUp;
-    for (const Incarnation lender : surroundings_.lenders)
+        << environment_.caughtUp;
+    for (const Incarnation lender : environment_.lenders)
         out << " lender " << lender;
     out << '\n';
     for (const auto& [number, grant] : grants_)
--- a/src/ledger/HolderBook.h
+++ b/src/ledger/HolderBook.h
@@ -30,35 +30,35 @@
 
     // Requests.
     [[nodiscard]] std::variant<Reservation, Shortage> reserve(
-        const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, MoneyActions& actions);
+        const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions);
     void withdraw(const BudgetRef& budget, RequestKey key, Instant now);
     [[nodiscard]] Tokens spendable(const BudgetRef& budget) const;
-    void settle(const Reservation& reservation, Tokens actual, MoneyActions& actions);
+    void settle(const Reservation& reservation, Tokens actual, LedgerActions& actions);
 
-    void stock(const BudgetRef& budget);
+    void preallocate(const BudgetRef& budget);
     void setWeighting(const BudgetRef& budget, Weighting weighting);
-    [[nodiscard]] bool answersAlone(const Reservation& reservation) const;
+    [[nodiscard]] bool isHolderOnly(const Reservation& reservation) const;
     [[nodiscard]] bool borrowsFrom(const GrantId& grant) const;
 
     // The log.
-    void onEffect(const Effect& effect, Instant now, MoneyActions& actions);
+    void onEffect(const Effect& effect, Instant now, LedgerActions& actions);
 
     // Ceilings.
-    void onCeilingsAcked(Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, MoneyActions& actions);
-    void onCeilingsRefused(Incarnation from, const std::vector<GrantId>& grants, Instant now, MoneyActions& actions);
+    void onCeilingsAcked(Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, LedgerActions& actions);
+    void onCeilingsRefused(Incarnation from, const std::vector<GrantId>& grants, Instant now, LedgerActions& actions);
 
     // Lending.
     void onLoanAsk(Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now,
-        MoneyActions& actions);
-    void onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, MoneyActions& actions);
+        LedgerActions& actions);
+    void onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions);
 
     // Borrowing.
-    void onLoanGiven(Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool alone, Instant now,
-        MoneyActions& actions);
-    void onLoanDenied(Incarnation from, std::uint64_t loan, Tokens free, Instant now, MoneyActions& actions);
-    void onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, MoneyActions& actions);
+    void onLoanGiven(Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool holderOnly, Instant now,
+        LedgerActions& actions);
+    void onLoanDenied(Incarnation from, std::uint64_t loan, Tokens free, Instant now, LedgerActions& actions);
+    void onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions& actions);
 
-    void onTick(Instant now, const Surroundings& surroundings, MoneyActions& actions);
+    void onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions);
 
     [[nodiscard]] bool drained() const;
     [[nodiscard]] std::vector<HoldingView> holdings() const;
@@ -80,52 +80,52 @@
     /** @return How long after its emission a draw is waited for. */
     [[nodiscard]] Duration drawPatience() const;
     [[nodiscard]] bool isExhausted(const BudgetRef& budget, Tokens amount) const;
-    void settleLoan(const Reservation& reservation, Tokens actual, MoneyActions& actions);
-    void settleGrant(const Reservation& reservation, Tokens actual, MoneyActions& actions);
+    void settleLoan(const Reservation& reservation, Tokens actual, LedgerActions& actions);
+    void settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions);
 
     // The log.
-    void on(const Landed& effect, MoneyActions& actions);
-    void on(const DrawDecided& effect, MoneyActions& actions);
-    void on(const GrantChanged& effect, MoneyActions& actions);
-    void on(const BillDecided& effect, MoneyActions& actions);
-    void on(const BudgetChanged& effect, MoneyActions& actions);
-    void on(const ClaimDecided&, MoneyActions&) { }
-    void on(const Refused&, MoneyActions&) { }
-    void ownDrawDecided(const DrawDecided& effect, MoneyActions& actions);
-    void otherDrawDecided(const DrawDecided& effect, MoneyActions& actions);
+    void on(const Landed& effect, LedgerActions& actions);
+    void on(const DrawDecided& effect, LedgerActions& actions);
+    void on(const GrantChanged& effect, LedgerActions& actions);
+    void on(const BillDecided& effect, LedgerActions& actions);
+    void on(const BudgetChanged& effect, LedgerActions& actions);
+    void on(const ClaimDecided&, LedgerActions&) { }
+    void on(const Refused&, LedgerActions&) { }
+    void ownDrawDecided(const DrawDecided& effect, LedgerActions& actions);
+    void otherDrawDecided(const DrawDecided& effect, LedgerActions& actions);
     void noteBilled(const BillDecided& effect);
-    void borrowedBillDecided(const BillDecided& effect, MoneyActions& actions);
+    void borrowedBillDecided(const BillDecided& effect, LedgerActions& actions);
     void forgetGrant(std::uint32_t number);
-    void retire(std::string reason, MoneyActions& actions);
+    void retire(std::string reason, LedgerActions& actions);
 
     // Ceilings.
-    void raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
+    void raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
     /** @return Whether the log has been out of reach for long enough to go on without it. */
     [[nodiscard]] bool inOutage() const;
     /** @return Whether a bill on the grant could not be secured now: its witness can't be asked, and may close it. */
     [[nodiscard]] bool insecure(const HolderGrant& grant) const;
     /** @return Whether a bill on the loan would count, as far as can be told now. */
     [[nodiscard]] bool secure(const LoanBorrowed& loan) const;
-    void replaceAlone(const HolderDesk& desk, MoneyActions& actions);
+    void replaceAlone(const HolderDesk& desk, LedgerActions& actions);
     void raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting);
     /** @return Whom to name as witness now; nobody when there is none, or it doesn't answer. */
     [[nodiscard]] Incarnation witnessToName() const;
     /** Notes a witness that doesn't answer. */
     void noteSilence(const HolderGrant& grant);
-    void moveWitness(HolderGrant& grant, Tokens headRoom, MoneyActions& actions);
+    void moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions);
     [[nodiscard]] bool witnessSilent(const HolderGrant& grant, Duration patience) const;
     [[nodiscard]] bool raisePending(const HolderDesk& desk, Tokens amount) const;
-    void flushRaises(MoneyActions& actions);
+    void flushRaises(LedgerActions& actions);
 
     // Lending.
     [[nodiscard]] std::optional<LoanAnswer> decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount);
     [[nodiscard]] HolderGrant* grantToLend(const HolderDesk& desk);
 
     // Borrowing.
-    void borrow(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void moveLoans(HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void moveLoan(LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void endLoan(LoanBorrowed& loan, MoneyActions& actions);
+    void borrow(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void moveLoans(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void moveLoan(LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void endLoan(LoanBorrowed& loan, LedgerActions& actions);
     void forgetLoan(std::uint64_t number);
     [[nodiscard]] bool loanAsked(const HolderDesk& desk) const;
     /** @return Whether an ask is so fresh that its answer is waited for before another lender is asked. */
@@ -134,22 +134,22 @@
     // Work that a tick or any change of one budget brings up.
     [[nodiscard]] BudgetSituation situationOf(const BudgetRef& budget, const HolderDesk& desk) const;
     void countFree(const HolderDesk& desk, BudgetSituation& situation) const;
-    void work(const BudgetRef& budget, HolderDesk& desk, MoneyActions& actions);
-    void draw(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
+    void work(const BudgetRef& budget, HolderDesk& desk, LedgerActions& actions);
+    void draw(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
     /** @return Whether the remainders went back, and will cover what waits. */
-    [[nodiscard]] bool gather(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void giveBack(const HolderDesk& desk, Tokens amount, MoneyActions& actions);
-    void closeIdle(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions);
-    void close(HolderGrant& grant, MoneyActions& actions);
-    [[nodiscard]] bool leaving() const { return retired_ || surroundings_.stopping; }
+    [[nodiscard]] bool gather(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void giveBack(const HolderDesk& desk, Tokens amount, LedgerActions& actions);
+    void closeIdle(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void close(HolderGrant& grant, LedgerActions& actions);
+    [[nodiscard]] bool leaving() const { return retired_ || environment_.stopping; }
     [[nodiscard]] Tokens grantsRemainder(const HolderDesk& desk) const;
 
     Incarnation self_;
     std::shared_ptr<const HoldingPolicy> policy_;
     const Fold* fold_;
     Instant now_ {};
-    Surroundings surroundings_;
+    HolderEnvironment environment_;
     /** A witness that did not answer, and until when it is not named again. */
     Incarnation silentWitness_;
     Instant silentUntil_ {};
--- a/src/ledger/HolderCeilings.cpp
+++ b/src/ledger/HolderCeilings.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void HolderBook::raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+void HolderBook::raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (leaving() && desk.wants.empty())
         return;
@@ -49,32 +49,33 @@
     if (!grant.isOpen() || grant.witness() == nobody || grant.changingWitness())
         return;
     const Tokens trigger = std::max(waiting, Tokens { (headRoom.value() + 1) / 2 });
-    const bool alone = policy_->witnessesClose() && inOutage();
-    const bool wantsAlone = alone && !grant.alone();
+    const bool holderOnly = policy_->witnessesClose() && inOutage();
+    const bool wantsAlone = holderOnly && !grant.holderOnly();
     if (!wantsAlone && grant.ceiling() >= std::min(grant.amount(), grant.charge() + trigger))
         return;
     HolderGrant::Raise& raise = grant.raise;
     const bool asked = raise.attempts > 0;
-    const bool enough = raise.alone == alone && raise.asked >= std::min(grant.amount(), grant.charge() + waiting);
+    const bool enough
+        = raise.holderOnly == holderOnly && raise.asked >= std::min(grant.amount(), grant.charge() + waiting);
     if (asked && (enough || raise.refused) && now_ < raise.askedAt + pauseAfter(raise.attempts))
         return;
     if (!asked)
         raise.firstAskedAt = now_;
     raise.asked = std::min(grant.amount(), grant.charge() + headRoom);
-    raise.alone = alone;
+    raise.holderOnly = holderOnly;
     raise.askedAt = now_;
     ++raise.attempts;
-    raises_[grant.witness()].push_back(Ceiling { grant.id(), raise.asked, alone });
+    raises_[grant.witness()].push_back(Ceiling { grant.id(), raise.asked, holderOnly });
 }
 
 // H6: the change states the ceiling that holds until it is read back.
-void HolderBook::moveWitness(HolderGrant& grant, Tokens headRoom, MoneyActions& actions)
+void HolderBook::moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions)
 {
     noteSilence(grant);
     const Incarnation better = witnessToName();
-    if (!policy_->witnessed() || !surroundings_.logReachable || leaving())
+    if (!policy_->witnessed() || !environment_.logReachable || leaving())
         return;
-    if (!grant.isOpen() || grant.changingWitness() || grant.alone() || better == grant.witness())
+    if (!grant.isOpen() || grant.changingWitness() || grant.holderOnly() || better == grant.witness())
         return;
     const bool silent = grant.raise.refused || witnessSilent(grant, changePatience);
     const bool settled = better != nobody && now_ - witnessSince_ >= settledWitness;
@@ -98,7 +99,7 @@
 
 Incarnation HolderBook::witnessToName() const
 {
-    const Incarnation witness = surroundings_.witness.value_or(nobody);
+    const Incarnation witness = environment_.witness.value_or(nobody);
     return witness == silentWitness_ && now_ < silentUntil_ ? nobody : witness;
 }
 
@@ -109,19 +110,19 @@
 bool HolderBook::insecure(const HolderGrant& grant) const
 {
     const bool witnessed = grant.witness() != nobody && policy_->witnessesClose();
-    const bool witnessHere = surroundings_.witness == grant.witness() && !witnessSilent(grant, answerPatience);
-    return witnessed && !grant.alone() && !witnessHere && !surroundings_.logReachable;
+    const bool witnessHere = environment_.witness == grant.witness() && !witnessSilent(grant, answerPatience);
+    return witnessed && !grant.holderOnly() && !witnessHere && !environment_.logReachable;
 }
 
 // A grant whose witness has promised not to close it would be lost with this process. Once the log is back it is
 // exchanged for one that the witness may close.
-void HolderBook::replaceAlone(const HolderDesk& desk, MoneyActions& actions)
+void HolderBook::replaceAlone(const HolderDesk& desk, LedgerActions& actions)
 {
-    if (!surroundings_.logReachable || !policy_->renewsAlone())
+    if (!environment_.logReachable || !policy_->renewsAlone())
         return;
     for (const std::uint32_t number : desk.grants) {
         HolderGrant& grant = grants_.at(number);
-        if (!grant.isOpen() || !grant.alone())
+        if (!grant.isOpen() || !grant.holderOnly())
             continue;
         const Tokens remainder = grant.remainder();
         if (grant.idle()) {
@@ -145,12 +146,12 @@
         if (grant.remainder() < amount)
             return false;
         if (grant.changingWitness())
-            return surroundings_.logReachable;
+            return environment_.logReachable;
         return grant.raise.attempts > 0 && !grant.raise.refused && !witnessSilent(grant, answerPatience);
     });
 }
 
-void HolderBook::flushRaises(MoneyActions& actions)
+void HolderBook::flushRaises(LedgerActions& actions)
 {
     for (auto& [witness, ceilings] : raises_)
         actions.emplace_back(SendRaise { witness, std::move(ceilings) });
@@ -158,7 +159,7 @@
 }
 
 void HolderBook::onCeilingsAcked(
-    Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, MoneyActions& actions)
+    Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, LedgerActions& actions)
 {
     now_ = now;
     if (from == silentWitness_)
@@ -169,15 +170,15 @@
             continue;
         HolderGrant& grant = found->second;
         const Tokens before = grant.free();
-        grant.acknowledged(from, acked.ceiling, acked.alone);
+        grant.acknowledged(from, acked.ceiling, acked.holderOnly);
         if (grant.free() > before)
-            actions.emplace_back(MoneyArrived { grant.budget() });
+            actions.emplace_back(TokensAvailable { grant.budget() });
     }
     flushRaises(actions);
 }
 
 void HolderBook::onCeilingsRefused(
-    Incarnation from, const std::vector<GrantId>& grants, Instant now, MoneyActions& actions)
+    Incarnation from, const std::vector<GrantId>& grants, Instant now, LedgerActions& actions)
 {
     now_ = now;
     for (const GrantId& refused : grants) {
--- a/src/ledger/HolderDesk.cpp
+++ b/src/ledger/HolderDesk.cpp
@@ -33,7 +33,7 @@
     wants.print(out);
     out << "drawing " << (drawing ? drawing->number : 0) << ' ' << drawingWanted << '@' << at(drawingSince) << " drawn "
         << drawn << " returned " << (returnedAt ? at(*returnedAt) : -1) << " cautious " << at(cautiousUntil)
-        << " others " << othersShort << '@' << at(othersShortUntil) << " stocked " << stocked;
+        << " others " << othersShort << '@' << at(othersShortUntil) << " stocked " << preallocated;
     signals.print(out);
     rounds.print(out);
     for (const auto& [sharer, seen] : sharers)
--- a/src/ledger/HolderDesk.h
+++ b/src/ledger/HolderDesk.h
@@ -23,7 +23,7 @@
     std::vector<std::uint64_t> loans;
     std::optional<Weighting> weighting;
     /** A share of the budget is to be held before there is demand. */
-    bool stocked = false;
+    bool preallocated = false;
     HolderDemand demand;
     /** What all routers bill. */
     HolderDemand billed;
@@ -46,7 +46,7 @@
     LoanRounds rounds;
 
     /** @return Whether there is nothing to look after. */
-    [[nodiscard]] bool quiet() const { return !stocked && grants.empty() && loans.empty() && wants.empty(); }
+    [[nodiscard]] bool quiet() const { return !preallocated && grants.empty() && loans.empty() && wants.empty(); }
 
     /** Another holder drew from this budget, or holds part of it. */
     void saw(Incarnation holder, Instant now);
--- a/src/ledger/HolderEffects.cpp
+++ b/src/ledger/HolderEffects.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void HolderBook::onEffect(const Effect& effect, Instant now, MoneyActions& actions)
+void HolderBook::onEffect(const Effect& effect, Instant now, LedgerActions& actions)
 {
     now_ = now;
     std::visit([&](const auto& happened) { on(happened, actions); }, effect);
@@ -26,9 +26,9 @@
 }
 
 // Comes first of an item's effects, so it tells who wrote the bill or draw that follows.
-void HolderBook::on(const Landed& effect, MoneyActions&) { author_ = effect.origin; }
+void HolderBook::on(const Landed& effect, LedgerActions&) { author_ = effect.origin; }
 
-void HolderBook::on(const DrawDecided& effect, MoneyActions& actions)
+void HolderBook::on(const DrawDecided& effect, LedgerActions& actions)
 {
     if (effect.grant.holder != self_)
         otherDrawDecided(effect, actions);
@@ -38,7 +38,7 @@
 
 // H1: only here does a grant become usable. Spending it as soon as it was asked for would spend money that the fold may
 // have given to somebody else.
-void HolderBook::ownDrawDecided(const DrawDecided& effect, MoneyActions& actions)
+void HolderBook::ownDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
     const auto grant = grants_.find(effect.grant.number);
     if (grant == grants_.end() || grant->second.state() != HolderGrantState::Drawing)
@@ -53,26 +53,26 @@
         desk.drawn += effect.admitted;
         desk.signals.relieved();
         desk.rounds.relieved();
-        actions.emplace_back(MoneyArrived { effect.budget });
+        actions.emplace_back(TokensAvailable { effect.budget });
     }
     work(effect.budget, desk, actions);
 }
 
-void HolderBook::otherDrawDecided(const DrawDecided& effect, MoneyActions& actions)
+void HolderBook::otherDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
     const auto found = desks_.find(effect.budget);
     if (found == desks_.end())
         return;
     HolderDesk& desk = found->second;
     desk.saw(effect.grant.holder, now_);
-    if (effect.shortBy == Tokens {})
+    if (effect.shortfall == Tokens {})
         return;
-    desk.othersShort = effect.shortBy;
+    desk.othersShort = effect.shortfall;
     desk.othersShortUntil = now_ + shortageMemory;
     work(found->first, desk, actions);
 }
 
-void HolderBook::on(const GrantChanged& effect, MoneyActions& actions)
+void HolderBook::on(const GrantChanged& effect, LedgerActions& actions)
 {
     if (effect.grant.holder != self_)
         return;
@@ -96,7 +96,7 @@
     work(grant.budget(), desk, actions);
 }
 
-void HolderBook::on(const BillDecided& effect, MoneyActions& actions)
+void HolderBook::on(const BillDecided& effect, LedgerActions& actions)
 {
     noteBilled(effect);
     if (effect.grant.holder != self_) {
@@ -114,14 +114,14 @@
         grant.refund(effect.tokens);
     else
         return;
-    actions.emplace_back(MoneyArrived { grant.budget() });
+    actions.emplace_back(TokensAvailable { grant.budget() });
     work(grant.budget(), deskOf(grant.budget()), actions);
 }
 
 // A router that starts reads the bills of minutes within a moment: noted, they would pass for a flood.
 void HolderBook::noteBilled(const BillDecided& effect)
 {
-    if (!effect.counted || !surroundings_.caughtUp)
+    if (!effect.counted || !environment_.caughtUp)
         return;
     const auto grant = fold_->grant(effect.grant);
     const auto desk = grant ? desks_.find(grant->budget) : desks_.end();
@@ -129,18 +129,18 @@
         desk->second.billed.note(effect.tokens, now_);
 }
 
-void HolderBook::borrowedBillDecided(const BillDecided& effect, MoneyActions& actions)
+void HolderBook::borrowedBillDecided(const BillDecided& effect, LedgerActions& actions)
 {
     for (auto& [number, loan] : loans_) {
         if (loan.grant() != effect.grant || !loan.billRead(effect.key, effect.tokens, effect.counted))
             continue;
         if (!effect.counted)
-            actions.emplace_back(MoneyArrived { loan.budget() });
+            actions.emplace_back(TokensAvailable { loan.budget() });
         return;
     }
 }
 
-void HolderBook::on(const BudgetChanged& effect, MoneyActions& actions)
+void HolderBook::on(const BudgetChanged& effect, LedgerActions& actions)
 {
     const auto found = desks_.find(effect.budget);
     if (found != desks_.end() && !found->second.wants.empty())
@@ -155,7 +155,7 @@
 
 // H12: a retired incarnation is refused every draw. It finishes what it has begun and closes its grants; the process
 // goes on under a new incarnation.
-void HolderBook::retire(std::string reason, MoneyActions& actions)
+void HolderBook::retire(std::string reason, LedgerActions& actions)
 {
     if (std::exchange(retired_, true))
         return;
--- a/src/ledger/HolderGrant.cpp
+++ b/src/ledger/HolderGrant.cpp
@@ -93,15 +93,15 @@
 
 // H6: an acknowledgement of the old witness that arrives after the change was stated would lift the ceiling above the
 // one in the log, and the new witness could seal below what is spent. It is dropped; so is one of any other router.
-void HolderGrant::acknowledged(Incarnation from, Tokens ceiling, bool alone)
+void HolderGrant::acknowledged(Incarnation from, Tokens ceiling, bool holderOnly)
 {
     if (!isOpen() || changingTo_ || from != witness_)
         return;
     acknowledged_ = std::max(acknowledged_, ceiling);
-    alone_ = alone_ || alone;
+    holderOnly_ = holderOnly_ || holderOnly;
     raise.refused = false;
-    if (acknowledged_ >= raise.asked && (alone_ || !raise.alone))
-        raise = Raise { raise.asked, raise.alone };
+    if (acknowledged_ >= raise.asked && (holderOnly_ || !raise.holderOnly))
+        raise = Raise { raise.asked, raise.holderOnly };
 }
 
 Tokens HolderGrant::changeWitness(Incarnation to, Tokens headRoom)
@@ -159,7 +159,7 @@
         << (changingTo_ ? "!" : "") << " amount " << amount_ << " acknowledged " << acknowledged_ << " billed "
         << ownBilled_ << " reserved " << reserved_ << " raise " << raise.asked << ' '
         << raise.firstAskedAt.time_since_epoch().count() << ' ' << raise.askedAt.time_since_epoch().count() << ' '
-        << raise.attempts << raise.refused << alone_;
+        << raise.attempts << raise.refused << holderOnly_;
     for (const auto& [borrower, share] : borrowers_) {
         out << " borrower " << borrower << ' ' << share.openLoans << ' ' << share.lent << ' ' << share.charged << ' '
             << share.toRead << ' ' << share.read << ' ' << share.counted;
--- a/src/ledger/HolderGrant.h
+++ b/src/ledger/HolderGrant.h
@@ -84,11 +84,11 @@
     void close() noexcept { state_ = HolderGrantState::Closing; }
     void seal() noexcept;
 
-    void acknowledged(Incarnation from, Tokens ceiling, bool alone);
+    void acknowledged(Incarnation from, Tokens ceiling, bool holderOnly);
     /** From now on no witness is named for it. */
-    void stayAlone() noexcept { alone_ = true; }
+    void stayAlone() noexcept { holderOnly_ = true; }
     /** @return Whether the witness has promised never to close it. For good, so the witness never changes again. */
-    [[nodiscard]] bool alone() const noexcept { return alone_; }
+    [[nodiscard]] bool holderOnly() const noexcept { return holderOnly_; }
     /** @return The ceiling to state in the log. */
     Tokens changeWitness(Incarnation to, Tokens headRoom);
     /** The log says who the witness is. */
@@ -104,7 +104,7 @@
     /** The ceiling last asked for, when, how often in vain, and whether the witness refused: for repeats only. */
     struct Raise {
         Tokens asked;
-        bool alone = false;
+        bool holderOnly = false;
         Instant firstAskedAt {};
         Instant askedAt {};
         std::uint32_t attempts = 0;
@@ -118,11 +118,11 @@
     HolderGrantState state_ = HolderGrantState::Drawing;
     Incarnation witness_;
     std::optional<Incarnation> changingTo_;
-    /** Admitted, less what was given back. */
+    /** AdmissionDecision, less what was given back. */
     Tokens amount_;
     /** Highest ceiling acknowledged, or stated in a change of witness. */
     Tokens acknowledged_;
-    bool alone_ = false;
+    bool holderOnly_ = false;
     Tokens ownBilled_;
     Tokens reserved_;
     std::map<Incarnation, BorrowerShare> borrowers_;
--- a/src/ledger/HolderRequests.cpp
+++ b/src/ledger/HolderRequests.cpp
@@ -37,7 +37,7 @@
 }
 
 std::variant<Reservation, Shortage> HolderBook::reserve(
-    const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, MoneyActions& actions)
+    const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions)
 {
     assert(amount > Tokens {} && "a request costs something");
     now_ = now;
@@ -90,7 +90,7 @@
 
 bool HolderBook::secure(const LoanBorrowed& loan) const
 {
-    return loan.alone() || surroundings_.logReachable || !policy_->witnessesClose();
+    return loan.holderOnly() || environment_.logReachable || !policy_->witnessesClose();
 }
 
 // Loans first, so that they are soon done; then own grants, oldest first, so that few stay open.
@@ -124,7 +124,7 @@
         shortage.reason = ShortReason::BudgetExhausted;
     if (shortage.pending || retired_)
         shortage.retryAfter = retrySoon;
-    else if (!surroundings_.logReachable)
+    else if (!environment_.logReachable)
         shortage.retryAfter = retryOutage;
     else
         shortage.retryAfter = shortage.reason == ShortReason::BudgetExhausted ? retryExhausted : retryElsewhere;
@@ -134,11 +134,11 @@
 bool HolderBook::mayStillCome(const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount) const
 {
     // What the ledger has not, no draw, raise or loan can bring: it is refused at once.
-    if (retired_ || (surroundings_.logReachable && isExhausted(budget, amount)))
+    if (retired_ || (environment_.logReachable && isExhausted(budget, amount)))
         return false;
     if (loanAsked(desk) || raisePending(desk, amount))
         return true;
-    if (!surroundings_.logReachable || now_ - desk.wants.since(key, now_) > patience)
+    if (!environment_.logReachable || now_ - desk.wants.since(key, now_) > patience)
         return false;
     const bool drawCovers = desk.drawing && desk.drawingWanted >= amount && now_ - desk.drawingSince <= drawPatience();
     // Whoever can give back does so as soon as it reads the signal. A second of waiting for it, and a caller with
@@ -163,18 +163,18 @@
     return !view || view->bought - view->billed < amount;
 }
 
-void HolderBook::stock(const BudgetRef& budget) { deskOf(budget).stocked = true; }
+void HolderBook::preallocate(const BudgetRef& budget) { deskOf(budget).preallocated = true; }
 
 void HolderBook::setWeighting(const BudgetRef& budget, Weighting weighting) { deskOf(budget).weighting = weighting; }
 
-bool HolderBook::answersAlone(const Reservation& reservation) const
+bool HolderBook::isHolderOnly(const Reservation& reservation) const
 {
     if (reservation.loan != 0) {
         const auto found = loans_.find(reservation.loan);
-        return found != loans_.end() && found->second.alone();
+        return found != loans_.end() && found->second.holderOnly();
     }
     const auto found = grants_.find(reservation.grant.number);
-    return found != grants_.end() && (found->second.alone() || found->second.witness() == Incarnation {});
+    return found != grants_.end() && (found->second.holderOnly() || found->second.witness() == Incarnation {});
 }
 
 bool HolderBook::borrowsFrom(const GrantId& grant) const
@@ -182,7 +182,7 @@
     return std::ranges::any_of(loans_, [&](const auto& entry) { return entry.second.grant() == grant; });
 }
 
-void HolderBook::settle(const Reservation& reservation, Tokens actual, MoneyActions& actions)
+void HolderBook::settle(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     assert(actual <= reservation.amount && "no request costs more than its reservation");
     if (reservation.loan != 0)
@@ -190,7 +190,7 @@
     else
         settleGrant(reservation, actual, actions);
     if (actual < reservation.amount)
-        actions.emplace_back(MoneyArrived { reservation.budget });
+        actions.emplace_back(TokensAvailable { reservation.budget });
     if (const auto desk = desks_.find(reservation.budget); desk != desks_.end())
         work(desk->first, desk->second, actions);
     flushRaises(actions);
@@ -198,7 +198,7 @@
 
 // H7: the bill is emitted in the same call that stops counting the reservation, so it lands before any later return or
 // close of the grant.
-void HolderBook::settleGrant(const Reservation& reservation, Tokens actual, MoneyActions& actions)
+void HolderBook::settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     const auto found = grants_.find(reservation.grant.number);
     assert(reservation.grant.holder == self_ && "a reservation names the lender's grant or an own one");
@@ -211,7 +211,7 @@
     found->second.settle(reservation.amount, actual);
 }
 
-void HolderBook::settleLoan(const Reservation& reservation, Tokens actual, MoneyActions& actions)
+void HolderBook::settleLoan(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     const auto found = loans_.find(reservation.loan);
     assert(found != loans_.end() && "a loan with a reservation is not done");
--- a/src/ledger/HolderWork.cpp
+++ b/src/ledger/HolderWork.cpp
@@ -20,13 +20,13 @@
 
 } // namespace
 
-void HolderBook::onTick(Instant now, const Surroundings& surroundings, MoneyActions& actions)
+void HolderBook::onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions)
 {
     now_ = now;
-    if (surroundings.witness != surroundings_.witness)
+    if (environment.witness != environment_.witness)
         witnessSince_ = now;
-    surroundings_ = surroundings;
-    if (surroundings.logReachable)
+    environment_ = environment;
+    if (environment.logReachable)
         logLostAt_.reset();
     else if (!logLostAt_)
         logLostAt_ = now;
@@ -38,7 +38,7 @@
     flushRaises(actions);
 }
 
-void HolderBook::work(const BudgetRef& budget, HolderDesk& desk, MoneyActions& actions)
+void HolderBook::work(const BudgetRef& budget, HolderDesk& desk, LedgerActions& actions)
 {
     replaceAlone(desk, actions);
     moveLoans(desk, situationOf(budget, desk), actions);
@@ -70,11 +70,11 @@
         // others.
         const bool untouched = view->billed == none || grantsRemainder(desk) > none;
         const bool demandUnknown = !busySince_ || now_ - *busySince_ < demandSeen;
-        situation.stocked = desk.stocked && untouched && demandUnknown;
+        situation.preallocated = desk.preallocated && untouched && demandUnknown;
     }
-    situation.logReachable = surroundings_.logReachable;
+    situation.logReachable = environment_.logReachable;
     situation.sharers = desk.sharerCount(now_);
-    situation.routers = surroundings_.routers;
+    situation.routers = environment_.routers;
     situation.cautious = now_ < desk.cautiousUntil;
     situation.othersShort = now_ < desk.othersShortUntil ? desk.othersShort : none;
     if (desk.returnedAt)
@@ -99,11 +99,11 @@
 }
 
 void HolderBook::draw(
-    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (desk.drawing || retired_ || !surroundings_.logReachable || !fold_->budget(budget))
+    if (desk.drawing || retired_ || !environment_.logReachable || !fold_->budget(budget))
         return;
-    if (surroundings_.stopping && desk.wants.empty())
+    if (environment_.stopping && desk.wants.empty())
         return;
     const std::optional<DrawDecision> decision = policy_->draw(situation);
     if (!decision)
@@ -126,7 +126,7 @@
 
 // A request is covered by one grant only. Several remainders that are too small each, but not together, go back first:
 // the returns land before the draw, which then gets them as one grant.
-bool HolderBook::gather(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+bool HolderBook::gather(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const Tokens remainder = grantsRemainder(desk);
     if (situation.largestFree >= situation.need || situation.available + remainder < situation.need)
@@ -135,9 +135,9 @@
     return true;
 }
 
-void HolderBook::giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+void HolderBook::giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (!desk.wants.empty() || (!surroundings_.logReachable && !leaving()))
+    if (!desk.wants.empty() || (!environment_.logReachable && !leaving()))
         return;
     const Tokens remainder = grantsRemainder(desk);
     const Tokens surplus = leaving() ? remainder : std::min(policy_->surplus(situation), remainder);
@@ -151,7 +151,7 @@
 }
 
 /** Smallest remainders first, so that whole grants can be closed. */
-void HolderBook::giveBack(const HolderDesk& desk, Tokens amount, MoneyActions& actions)
+void HolderBook::giveBack(const HolderDesk& desk, Tokens amount, LedgerActions& actions)
 {
     std::vector<HolderGrant*> open;
     for (const std::uint32_t number : desk.grants) {
@@ -175,7 +175,7 @@
 
 // Each grant ends with a remainder that no request fits. Kept, they would add up: one more grant to look through and a
 // few more tokens out of reach with every draw.
-void HolderBook::closeIdle(const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+void HolderBook::closeIdle(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const bool mayTidy = desk.wants.empty() && situation.logReachable;
     const Tokens fragment = mayTidy ? policy_->fragment(situation) : none;
@@ -190,7 +190,7 @@
 }
 
 // H5: only when nothing of it is reserved, lent or still to be billed; every bill was emitted before.
-void HolderBook::close(HolderGrant& grant, MoneyActions& actions)
+void HolderBook::close(HolderGrant& grant, LedgerActions& actions)
 {
     grant.close();
     actions.emplace_back(AppendEntry { CloseGrant { grant.id() } });
--- a/src/ledger/LoanBorrowed.cpp
+++ b/src/ledger/LoanBorrowed.cpp
@@ -19,12 +19,12 @@
     return state_ == LoanState::Held ? amount_ - billed_ - reserved_ : Tokens {};
 }
 
-void LoanBorrowed::given(GrantId grant, Tokens amount, bool alone, Instant now)
+void LoanBorrowed::given(GrantId grant, Tokens amount, bool holderOnly, Instant now)
 {
     assert(state_ == LoanState::Asked && "a loan is given once");
     state_ = LoanState::Held;
     grant_ = grant;
-    alone_ = alone;
+    holderOnly_ = holderOnly;
     amount_ = amount;
     since_ = now;
 }
--- a/src/ledger/LoanBorrowed.h
+++ b/src/ledger/LoanBorrowed.h
@@ -44,9 +44,9 @@
     /** @return When it was asked for, given or last used. */
     [[nodiscard]] Instant since() const noexcept { return since_; }
 
-    void given(GrantId grant, Tokens amount, bool alone, Instant now);
+    void given(GrantId grant, Tokens amount, bool holderOnly, Instant now);
     /** @return Whether nobody but its holder can close the lender's grant. */
-    [[nodiscard]] bool alone() const noexcept { return alone_; }
+    [[nodiscard]] bool holderOnly() const noexcept { return holderOnly_; }
     void reserve(Tokens amount, Instant now);
     /** @param billed Part of `reserved` that a bill of `key` now charges. */
     void settle(RequestKey key, Tokens reserved, Tokens billed);
@@ -66,7 +66,7 @@
     BudgetRef budget_;
     LoanState state_ = LoanState::Asked;
     GrantId grant_;
-    bool alone_ = false;
+    bool holderOnly_ = false;
     Tokens asked_;
     Tokens amount_;
     Tokens billed_;
--- a/src/ledger/LoanBorrowing.cpp
+++ b/src/ledger/LoanBorrowing.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void HolderBook::borrow(
-    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (desk.wants.empty())
         return;
@@ -33,24 +33,24 @@
     if (retired_ || logWillDo || situation.largestFree >= situation.need || askedJustNow(desk))
         return;
     const Tokens size = policy_->loanSize(situation);
-    if (size == none || surroundings_.lenders.empty() || !desk.rounds.due(now_))
+    if (size == none || environment_.lenders.empty() || !desk.rounds.due(now_))
         return;
     const std::uint64_t number = ++lastLoan_;
     desk.loans.push_back(number);
-    const Incarnation lender = surroundings_.lenders.at(desk.rounds.ask(surroundings_.lenders.size(), now_));
+    const Incarnation lender = environment_.lenders.at(desk.rounds.ask(environment_.lenders.size(), now_));
     LoanBorrowed& loan = loans_.try_emplace(number, number, lender, budget, size, now_).first->second;
     if (loan.repeatDue(now_))
         actions.emplace_back(SendLoanAsk { loan.lender(), number, budget, size });
 }
 
-void HolderBook::moveLoans(HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+void HolderBook::moveLoans(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     for (const std::uint64_t number : desk.loans)
         moveLoan(loans_.at(number), desk, situation, actions);
 }
 
 void HolderBook::moveLoan(
-    LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, MoneyActions& actions)
+    LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const Duration age = now_ - loan.since();
     switch (loan.state()) {
@@ -77,7 +77,7 @@
 
 // H10: from here on nothing of it is spent. An ask that was given up ends in the same way, since its answer may have
 // been lost: otherwise the lender would count it as lent for good.
-void HolderBook::endLoan(LoanBorrowed& loan, MoneyActions& actions)
+void HolderBook::endLoan(LoanBorrowed& loan, LedgerActions& actions)
 {
     loan.end(now_);
     if (loan.repeatDue(now_))
@@ -109,8 +109,8 @@
     });
 }
 
-void HolderBook::onLoanGiven(
-    Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool alone, Instant now, MoneyActions& actions)
+void HolderBook::onLoanGiven(Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool holderOnly,
+    Instant now, LedgerActions& actions)
 {
     now_ = now;
     const auto found = loans_.find(loan);
@@ -126,19 +126,19 @@
         actions.emplace_back(SendLoanDone { from, loan, borrowed.emitted() });
         return;
     }
-    borrowed.given(grant, amount, alone, now);
+    borrowed.given(grant, amount, holderOnly, now);
     HolderDesk& desk = deskOf(borrowed.budget());
     if (amount < desk.wants.smallest()) {
         endLoan(borrowed, actions);
     } else {
         desk.rounds.lent();
         desk.signals.relieved();
-        actions.emplace_back(MoneyArrived { borrowed.budget() });
+        actions.emplace_back(TokensAvailable { borrowed.budget() });
     }
     borrow(borrowed.budget(), desk, situationOf(borrowed.budget(), desk), actions);
 }
 
-void HolderBook::onLoanDenied(Incarnation from, std::uint64_t loan, Tokens, Instant now, MoneyActions& actions)
+void HolderBook::onLoanDenied(Incarnation from, std::uint64_t loan, Tokens, Instant now, LedgerActions& actions)
 {
     now_ = now;
     const auto found = loans_.find(loan);
@@ -150,7 +150,7 @@
     flushRaises(actions);
 }
 
-void HolderBook::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, MoneyActions&)
+void HolderBook::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions&)
 {
     now_ = now;
     const auto found = loans_.find(loan);
--- a/src/ledger/LoanLedger.h
+++ b/src/ledger/LoanLedger.h
@@ -20,7 +20,7 @@
     Tokens free;
     bool done = false;
     /** Of a given one: nobody but this holder can close the grant. */
-    bool alone = false;
+    bool holderOnly = false;
 };
 
 /**
--- a/src/ledger/LoanLending.cpp
+++ b/src/ledger/LoanLending.cpp
@@ -19,7 +19,7 @@
 
 // H11: the first answer stands. A second loan for a repeated ask would be lent for good, as its borrower knows of one.
 void HolderBook::onLoanAsk(
-    Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, MoneyActions& actions)
+    Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, LedgerActions& actions)
 {
     now_ = now;
     std::optional<LoanAnswer> answer = lending_.find(from, loan);
@@ -31,7 +31,7 @@
         lending_.record(from, loan, *answer);
     }
     if (answer->amount > none && !answer->done)
-        actions.emplace_back(SendLoanGiven { from, loan, budget, answer->grant, answer->amount, answer->alone });
+        actions.emplace_back(SendLoanGiven { from, loan, budget, answer->grant, answer->amount, answer->holderOnly });
     else
         actions.emplace_back(SendLoanDenied { from, loan, budget, answer->free });
 }
@@ -63,7 +63,7 @@
     if (grant->witness() == Incarnation {})
         grant->stayAlone();
     grant->lend(borrower, given);
-    return LoanAnswer { grant->id(), given, lendable - given, false, grant->alone() };
+    return LoanAnswer { grant->id(), given, lendable - given, false, grant->holderOnly() };
 }
 
 HolderGrant* HolderBook::grantToLend(const HolderDesk& desk)
@@ -72,8 +72,8 @@
     for (const std::uint32_t number : desk.grants) {
         HolderGrant& grant = grants_.at(number);
         // In an outage the borrower's bills can't land, so only money that nobody else can close is lent.
-        const bool closable = policy_->witnessesClose() && grant.witness() != Incarnation {} && !grant.alone();
-        if (!surroundings_.logReachable && closable)
+        const bool closable = policy_->witnessesClose() && grant.witness() != Incarnation {} && !grant.holderOnly();
+        if (!environment_.logReachable && closable)
             continue;
         if (!best || grant.remainder() > best->remainder())
             best = &grant;
@@ -83,7 +83,7 @@
 
 // A LoanDone for an ask that never came is kept, so that the ask is denied if it comes late: its borrower has given it
 // up, and nobody else would ever give the tokens back.
-void HolderBook::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, MoneyActions& actions)
+void HolderBook::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions)
 {
     now_ = now;
     LoanAnswer answer = lending_.find(from, loan).value_or(LoanAnswer {});
@@ -98,7 +98,7 @@
         return;
     HolderGrant& grant = found->second;
     grant.loanDone(from, answer.amount, billed);
-    actions.emplace_back(MoneyArrived { grant.budget() });
+    actions.emplace_back(TokensAvailable { grant.budget() });
     work(grant.budget(), deskOf(grant.budget()), actions);
     flushRaises(actions);
 }
--- a/src/ledger/PolicyDemandGrants.cpp
+++ b/src/ledger/PolicyDemandGrants.cpp
@@ -76,10 +76,10 @@
 // start on, and what it turns out not to need moves to the others as they run short.
 Tokens DemandGrantsPolicy::stock(const BudgetSituation& situation) const
 {
-    if (!situation.stocked)
+    if (!situation.preallocated)
         return none;
     const auto routers = std::max<std::int64_t>(situation.routers, 1);
-    return Tokens { situation.bought.value() / wholePercent * settings_.stockPercent / routers };
+    return Tokens { situation.bought.value() / wholePercent * settings_.preallocationPercent / routers };
 }
 
 // Bills say what a fleet spends seconds after its traffic began. Until then a router without a stock would hold minutes
--- a/src/ledger/Witness.cpp
+++ b/src/ledger/Witness.cpp
@@ -18,7 +18,7 @@
     fold_ = &fold;
 }
 
-void Witness::onRaise(Incarnation from, const std::vector<Ceiling>& ceilings, MoneyActions& actions)
+void Witness::onRaise(Incarnation from, const std::vector<Ceiling>& ceilings, LedgerActions& actions)
 {
     SendCeilingsAcked acked { from, {} };
     SendCeilingsRefused refused { from, {} };
@@ -39,9 +39,9 @@
         }
         Tokens& highest = acknowledged_[raise.grant];
         highest = std::max(highest, raise.ceiling);
-        if (raise.alone)
-            alone_.insert(raise.grant);
-        acked.ceilings.push_back(Ceiling { raise.grant, highest, alone_.contains(raise.grant) });
+        if (raise.holderOnly)
+            holderOnly_.insert(raise.grant);
+        acked.ceilings.push_back(Ceiling { raise.grant, highest, holderOnly_.contains(raise.grant) });
     }
     if (!acked.ceilings.empty())
         actions.emplace_back(std::move(acked));
@@ -49,7 +49,7 @@
         actions.emplace_back(std::move(refused));
 }
 
-void Witness::suspect(Incarnation holder, MoneyActions& actions)
+void Witness::suspect(Incarnation holder, LedgerActions& actions)
 {
     if (!suspected_.insert(holder).second)
         return;
@@ -61,7 +61,7 @@
 
 // W4: the seal states the highest ceiling ever acknowledged, under any tenure: an acknowledgement may reach the holder
 // late, after the grant has left this witness and come back.
-void Witness::seal(const GrantView& grant, MoneyActions& actions)
+void Witness::seal(const GrantView& grant, LedgerActions& actions)
 {
     if (grant.witness != self_ || grant.state != GrantState::Open || !sealing_.insert(grant.id).second)
         return;
@@ -70,7 +70,7 @@
     actions.emplace_back(AppendEntry { Seal { grant.id, self_, std::max(ceiling, grant.floor) } });
 }
 
-void Witness::onEffect(const Effect& effect, MoneyActions& actions)
+void Witness::onEffect(const Effect& effect, LedgerActions& actions)
 {
     std::optional<GrantId> changed;
     if (const auto* const drawn = std::get_if<DrawDecided>(&effect))
@@ -83,7 +83,7 @@
     if (!grant) {
         acknowledged_.erase(*changed);
         sealing_.erase(*changed);
-        alone_.erase(*changed);
+        holderOnly_.erase(*changed);
         return;
     }
     // W5: a suspected holder's grant may land, or come here by a change, after the suspicion.
@@ -98,7 +98,7 @@
     std::vector<GrantId> result;
     for (const GrantView& grant : fold_->openGrants()) {
         if (grant.state == GrantState::Sealed && grant.witness == self_ && suspected_.contains(grant.id.holder)
-            && !alone_.contains(grant.id))
+            && !holderOnly_.contains(grant.id))
             result.push_back(grant.id);
     }
     return result;
@@ -114,7 +114,7 @@
         out << " suspects " << holder;
     for (const GrantId& grant : sealing_)
         out << " sealing " << grant.holder << ':' << grant.number;
-    for (const GrantId& grant : alone_)
+    for (const GrantId& grant : holderOnly_)
         out << " alone " << grant.holder << ':' << grant.number;
     out << '\n';
     return out.str();
--- a/src/membership/Heartbeats.cpp
+++ b/src/membership/Heartbeats.cpp
@@ -43,7 +43,7 @@
     for (const PeerAddress& address : domainRotation_.next(settings_.domainPerPeriod)) {
         planSend(address, now, actions);
     }
-    for (const PeerAddress& address : distantRotation_.next(settings_.distantPerPeriod)) {
+    for (const PeerAddress& address : distantRotation_.next(settings_.remotePerPeriod)) {
         planSend(address, now, actions);
     }
 }
@@ -115,7 +115,7 @@
     }
     const bool near = distance(peer) == 0;
     const Duration wait
-        = near ? turn(domainRotation_, settings_.domainPerPeriod) : turn(distantRotation_, settings_.distantPerPeriod);
+        = near ? turn(domainRotation_, settings_.domainPerPeriod) : turn(distantRotation_, settings_.remotePerPeriod);
     return std::max(settings_.silenceLimit, missedTurns * wait);
 }
 
@@ -136,7 +136,7 @@
     if (const auto found = watched_.find(incarnation); found != watched_.end()) {
         since = found->second;
     }
-    for (const Chosen* chosen : { &witness_, &distantKeeper_, &secondKeeper_ }) {
+    for (const Chosen* chosen : { &witness_, &remoteReplica_, &secondRemoteReplica_ }) {
         if (chosen->peer == incarnation) {
             since = std::max(since, std::optional(chosen->since));
         }
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -167,7 +167,7 @@
     forgetOld(now);
     settle(now);
     chooseWitness(now);
-    chooseDistantKeepers(now);
+    chooseRemoteReplicas(now);
     MembershipActions actions;
     planHeartbeats(now, actions);
     planAnswers(now, actions);
@@ -259,32 +259,32 @@
 
 // A keeper that dies is silent for some seconds before it is suspected, and it may die with this failure domain. Bills
 // of those seconds would be lost but for a second one.
-void Membership::chooseDistantKeepers(Instant now)
+void Membership::chooseRemoteReplicas(Instant now)
 {
-    if (!settings_.distantKeeper) {
+    if (!settings_.remoteReplica) {
         return;
     }
     const auto fit = [this](const Chosen& chosen) { return chosen.peer && mayKeepFromAfar(*chosen.peer); };
-    if (!fit(distantKeeper_)) {
+    if (!fit(remoteReplica_)) {
         const std::vector<Incarnation> peers = nearestFirst();
         const auto best = std::ranges::find_if(peers, [this](Incarnation peer) { return mayKeepFromAfar(peer); });
         const auto nearest = best == peers.end() ? std::nullopt : std::optional(*best);
-        distantKeeper_.choose(fit(secondKeeper_) ? secondKeeper_.peer : nearest, now);
+        remoteReplica_.choose(fit(secondRemoteReplica_) ? secondRemoteReplica_.peer : nearest, now);
     }
-    const std::optional<Incarnation> best = bestSecondKeeper();
-    const bool stays = fit(secondKeeper_) && secondKeeper_.peer != distantKeeper_.peer
-        && secondKeeperCost(*secondKeeper_.peer) <= secondKeeperCost(*best);
+    const std::optional<Incarnation> best = bestSecondRemoteReplica();
+    const bool stays = fit(secondRemoteReplica_) && secondRemoteReplica_.peer != remoteReplica_.peer
+        && secondRemoteReplicaCost(*secondRemoteReplica_.peer) <= secondRemoteReplicaCost(*best);
     if (!stays) {
-        secondKeeper_.choose(best, now);
+        secondRemoteReplica_.choose(best, now);
     }
 }
 
-std::optional<Incarnation> Membership::bestSecondKeeper() const
+std::optional<Incarnation> Membership::bestSecondRemoteReplica() const
 {
     std::optional<Incarnation> best;
     for (const Incarnation peer : nearestFirst()) {
-        const bool fit = peer != distantKeeper_.peer && mayKeepFromAfar(peer);
-        if (fit && (!best || secondKeeperCost(peer) < secondKeeperCost(*best))) {
+        const bool fit = peer != remoteReplica_.peer && mayKeepFromAfar(peer);
+        if (fit && (!best || secondRemoteReplicaCost(peer) < secondRemoteReplicaCost(*best))) {
             best = peer;
         }
     }
@@ -293,10 +293,10 @@
 
 // Another region would cost each answer a way there and back, so a peer in the first keeper's domain is preferred to
 // it.
-std::pair<int, bool> Membership::secondKeeperCost(Incarnation peer) const
+std::pair<int, bool> Membership::secondRemoteReplicaCost(Incarnation peer) const
 {
     const Peer& candidate = peers_.at(peer);
-    const auto first = distantKeeper_.peer ? peers_.find(*distantKeeper_.peer) : peers_.end();
+    const auto first = remoteReplica_.peer ? peers_.find(*remoteReplica_.peer) : peers_.end();
     return { distance(candidate), first != peers_.end() && candidate.facts.domain == first->second.facts.domain };
 }
 
--- a/src/membership/Queries.cpp
+++ b/src/membership/Queries.cpp
@@ -63,7 +63,7 @@
     return found != peers_.end() && fitForDuty(found->second) && distance(found->second) > 0;
 }
 
-bool Membership::knowsDistantVms() const
+bool Membership::knowsRemoteVms() const
 {
     const auto listedBeyond = [this](const auto& entry) { return entry.second.domain != settings_.domain; };
     const auto heardBeyond = [this](const auto& entry) { return distance(entry.second) > 0; };
--- a/src/node/Call.h
+++ b/src/node/Call.h
@@ -49,7 +49,7 @@
     std::uint64_t billSequence = 0;
     GrantId billedGrant;
     /** Nobody else can close the grant; asked before the bill, as the holding may be over after it. */
-    bool answersAlone = false;
+    bool isHolderOnly = false;
     Tokens billed;
 
     [[nodiscard]] bool isModel() const noexcept { return service->kind == settings::BackendKind::Model; }
--- a/src/node/Context.h
+++ b/src/node/Context.h
@@ -13,31 +13,31 @@
 namespace swiftlift::node {
 
 /** Collects the fields of one decision's log line. */
-class Line {
+class LogLineBuilder {
 public:
-    explicit Line(std::string kind) { line_.kind = std::move(kind); }
+    explicit LogLineBuilder(std::string kind) { line_.kind = std::move(kind); }
 
-    Line& with(std::string name, std::string value)
+    LogLineBuilder& with(std::string name, std::string value)
     {
         line_.fields.push_back({ std::move(name), std::move(value) });
         return *this;
     }
 
-    Line& with(std::string name, const char* value) { return with(std::move(name), std::string(value)); }
+    LogLineBuilder& with(std::string name, const char* value) { return with(std::move(name), std::string(value)); }
 
-    Line& with(std::string name, std::int64_t value)
+    LogLineBuilder& with(std::string name, std::int64_t value)
     {
         line_.fields.push_back({ std::move(name), value });
         return *this;
     }
 
-    Line& with(std::string name, double value)
+    LogLineBuilder& with(std::string name, double value)
     {
         line_.fields.push_back({ std::move(name), value });
         return *this;
     }
 
-    Line& with(std::string name, bool value)
+    LogLineBuilder& with(std::string name, bool value)
     {
         line_.fields.push_back({ std::move(name), value });
         return *this;
@@ -71,7 +71,7 @@
 
     void emit(Action action) { actions_->push_back(std::move(action)); }
 
-    void log(const Line& line)
+    void log(const LogLineBuilder& line)
     {
         LogLine taken = line.get();
         explanations_.remember(taken, now_);
--- a/src/node/CoreState.cpp
+++ b/src/node/CoreState.cpp
@@ -31,7 +31,7 @@
 
 void CoreState::start()
 {
-    context_.log(Line("start")
+    context_.log(LogLineBuilder("start")
                      .with("incarnation", toHex(context_.self().value()))
                      .with("peer", context_.settings().peerAddress.value())
                      .with("domain", context_.settings().domain.value())
@@ -49,19 +49,19 @@
 void CoreState::on(const RequestArrived& event)
 {
     if (stopping_) {
-        requests_.refuseAtOnce(
+        requests_.refuseImmediately(
             event.call, event.request, { 503, "stopping", "this VM is leaving: ask another", Duration {} });
         return;
     }
     if (!ready()) {
-        requests_.refuseAtOnce(event.call, event.request,
+        requests_.refuseImmediately(event.call, event.request,
             { 503, "not_ready", retired() ? retiredReason_ : "still reading the log", internal::notReadyRetry });
         return;
     }
     requests_.arrive(event.call, event.request);
 }
 
-void CoreState::on(const CallerGone& event) { requests_.callerGone(event.call); }
+void CoreState::on(const CallerDisconnected& event) { requests_.callerDisconnected(event.call); }
 void CoreState::on(const AttemptProgress& event) { requests_.onProgress(event); }
 void CoreState::on(const AttemptEnded& event) { requests_.onAttemptEnded(event); }
 
@@ -141,7 +141,7 @@
 {
     peers_.onVmList(event.vms);
     if (peers_.membership().selfLeaving() && !stopping_) {
-        context_.log(Line("membership").with("change", "self_leaving").with("detail", "listed as leaving"));
+        context_.log(LogLineBuilder("membership").with("change", "self_leaving").with("detail", "listed as leaving"));
         on(StopRequested {});
     }
 }
@@ -208,8 +208,9 @@
         return;
     }
     stopping_ = true;
-    context_.log(
-        Line("stop").with("in_progress", static_cast<std::int64_t>(requests_.inProgress())).with("reason", "asked"));
+    context_.log(LogLineBuilder("stop")
+                     .with("in_progress", static_cast<std::int64_t>(requests_.inProgress()))
+                     .with("reason", "asked"));
 }
 
 void CoreState::on(const OperatorAsked& event)
@@ -218,7 +219,7 @@
 }
 
 void CoreState::onClaimDecided(const RequestKey& key, Incarnation owner) { requests_.onClaimDecided(key, owner); }
-void CoreState::onMoneyArrived(const BudgetRef& budget) { requests_.onMoneyArrived(budget); }
+void CoreState::onTokensAvailable(const BudgetRef& budget) { requests_.onTokensAvailable(budget); }
 
 void CoreState::onServiceInForce(const settings::ServiceDocument& document)
 {
@@ -235,7 +236,7 @@
         return;
     }
     retiredReason_ = reason.empty() ? "retired" : reason;
-    context_.log(Line("retired").with("reason", retiredReason_));
+    context_.log(LogLineBuilder("retired").with("reason", retiredReason_));
 }
 
 void CoreState::beginEvent()
--- a/src/node/CoreState.h
+++ b/src/node/CoreState.h
@@ -30,7 +30,7 @@
     void finishEvent();
 
     void on(const RequestArrived& event);
-    void on(const CallerGone& event);
+    void on(const CallerDisconnected& event);
     void on(const AttemptProgress& event);
     void on(const AttemptEnded& event);
     void on(const LogRecords& event);
@@ -49,7 +49,7 @@
     template <typename Other> void on(const Other&) { }
 
     void onClaimDecided(const RequestKey& key, Incarnation owner) override;
-    void onMoneyArrived(const BudgetRef& budget) override;
+    void onTokensAvailable(const BudgetRef& budget) override;
     void onRetired(const std::string& reason) override;
 
     /** @return True when the router takes new requests. */
--- a/src/node/Ending.cpp
+++ b/src/node/Ending.cpp
@@ -19,8 +19,9 @@
         return;
     }
     over_ = true;
-    context_.log(
-        Line("over").with("drained", open.drained).with("unread_items", static_cast<std::int64_t>(open.unreadItems)));
+    context_.log(LogLineBuilder("over")
+                     .with("drained", open.drained)
+                     .with("unread_items", static_cast<std::int64_t>(open.unreadItems)));
     if (stopping) {
         context_.emit(StopReady {});
     } else {
--- a/src/node/FleetBook.cpp
+++ b/src/node/FleetDirectory.cpp
@@ -1,4 +1,4 @@
-#include "node/FleetBook.h"
+#include "node/FleetDirectory.h"
 
 #include <utility>
 
@@ -35,25 +35,25 @@
 
 } // namespace internal
 
-const StreamName& FleetBook::configStream()
+const StreamName& FleetDirectory::configStream()
 {
     static const StreamName name { "fleet-config" };
     return name;
 }
 
-const StreamName& FleetBook::serverStream()
+const StreamName& FleetDirectory::serverStream()
 {
     static const StreamName name { "backend-servers" };
     return name;
 }
 
-const StreamName& FleetBook::vmStream()
+const StreamName& FleetDirectory::vmStream()
 {
     static const StreamName name { "vms" };
     return name;
 }
 
-FleetBook::FleetBook(
+FleetDirectory::FleetDirectory(
     Context& context, Peers& peers, const LogHealth& health, routing::BackendTable& backends, FleetListener& listener)
     : context_(context)
     , peers_(peers)
@@ -63,14 +63,14 @@
 {
 }
 
-void FleetBook::start()
+void FleetDirectory::start()
 {
     context_.emit(Follow { configStream(), {}, StreamKind::Keyed, {} });
     context_.emit(Follow { serverStream(), {}, StreamKind::Keyed, serverReadPause });
     context_.emit(Follow { vmStream(), {}, StreamKind::Keyed, vmReadPause });
 }
 
-void FleetBook::onRecords(const KeyedRecords& records)
+void FleetDirectory::onRecords(const KeyedRecords& records)
 {
     for (const UnreadableRecord& record : records.unreadable) {
         logUnreadable(records.stream.value().c_str(), record.key, record.reason);
@@ -94,9 +94,9 @@
 // What goes wrong otherwise: a VM whose processor or link is full reads no configuration for half a minute, and goes on
 // telling callers that their routes and keys don't exist. One notices by 404 and 401 with an old version in their
 // lines.
-bool FleetBook::confirmed() const { return confirmedAt_ && context_.now() - *confirmedAt_ < confirmationLifetime; }
+bool FleetDirectory::confirmed() const { return confirmedAt_ && context_.now() - *confirmedAt_ < confirmationLifetime; }
 
-void FleetBook::takeConfig(Offset offset, const std::string& text, const char* source)
+void FleetDirectory::takeConfig(Offset offset, const std::string& text, const char* source)
 {
     Findings findings;
     auto config = context_.settings().fleetCodec->config(text, findings);
@@ -111,7 +111,7 @@
     }
     configOffset_ = offset;
     configText_ = text;
-    context_.log(Line("config")
+    context_.log(LogLineBuilder("config")
                      .with("change", "in_force")
                      .with("version", static_cast<std::int64_t>(config->version))
                      .with("source", source)
@@ -121,7 +121,7 @@
     listener_.onConfig(routes_->config());
 }
 
-void FleetBook::takeServers(const KeyedRecords& records)
+void FleetDirectory::takeServers(const KeyedRecords& records)
 {
     if (records.whole) {
         std::set<BackendId> present;
@@ -148,7 +148,7 @@
 }
 
 // A list of all servers has entries that are as old as may be, and shows nobody alive.
-void FleetBook::noteSeen(const KeyedRecords& records, Instant readBefore)
+void FleetDirectory::noteSeen(const KeyedRecords& records, Instant readBefore)
 {
     if (records.whole) {
         return;
@@ -161,7 +161,7 @@
     }
 }
 
-void FleetBook::takeServer(const KeyedRecord& record, Instant readBefore)
+void FleetDirectory::takeServer(const KeyedRecord& record, Instant readBefore)
 {
     const BackendId id { record.key };
     if (!record.value) {
@@ -186,7 +186,7 @@
     }
     const bool newLife
         = known != servers_.end() && known->second.startedAt != 0 && server->startedAt > known->second.startedAt;
-    context_.log(Line("backend")
+    context_.log(LogLineBuilder("backend")
                      .with("backend", id.value())
                      .with("change", internal::changeOf(*server, newLife))
                      .with("started_at", static_cast<std::int64_t>(server->startedAt))
@@ -200,7 +200,7 @@
     }
 }
 
-bool FleetBook::mostLapsed(const ServiceName& service) const
+bool FleetDirectory::mostLapsed(const ServiceName& service) const
 {
     std::size_t registered = 0;
     std::size_t lapsed = 0;
@@ -212,7 +212,7 @@
     return lapsed > registered;
 }
 
-bool FleetBook::dropLapsed()
+bool FleetDirectory::dropLapsed()
 {
     bool dropped = false;
     for (auto entry = lapsed_.begin(); entry != lapsed_.end();) {
@@ -224,7 +224,7 @@
             continue;
         }
         if (known) {
-            context_.log(Line("backend")
+            context_.log(LogLineBuilder("backend")
                              .with("backend", entry->first.value())
                              .with("change", "unregistered")
                              .with("missing_ms", toMilliseconds(context_.now() - entry->second)));
@@ -237,7 +237,7 @@
     return dropped;
 }
 
-void FleetBook::publishBackends()
+void FleetDirectory::publishBackends()
 {
     std::map<ServiceName, std::vector<routing::BackendEntry>> services;
     for (const ServiceName& service : published_) {
@@ -257,7 +257,7 @@
     }
 }
 
-void FleetBook::takeVms(const KeyedRecords& records)
+void FleetDirectory::takeVms(const KeyedRecords& records)
 {
     if (records.whole) {
         vms_.clear();
@@ -277,13 +277,13 @@
     peers_.onVmList(listed);
 }
 
-const fleet::BackendServer* FleetBook::server(const BackendId& id) const
+const fleet::BackendServer* FleetDirectory::server(const BackendId& id) const
 {
     const auto found = servers_.find(id);
     return found == servers_.end() ? nullptr : &found->second;
 }
 
-void FleetBook::tick(bool stopping)
+void FleetDirectory::tick(bool stopping)
 {
     const Instant now = context_.now();
     if (!health_.reachable(now)) {
@@ -294,7 +294,7 @@
     registerSelf(stopping);
 }
 
-void FleetBook::registerSelf(bool stopping)
+void FleetDirectory::registerSelf(bool stopping)
 {
     const Instant now = context_.now();
     const std::string& address = context_.settings().peerAddress.value();
@@ -312,7 +312,7 @@
     context_.emit(Append { vmStream(), internal::vmText(context_.settings()), address });
 }
 
-void FleetBook::askPeer()
+void FleetDirectory::askPeer()
 {
     const Instant now = context_.now();
     if (now < nextReadAsk_) {
@@ -325,26 +325,26 @@
     }
 }
 
-void FleetBook::onReadAsk(Incarnation from, Offset offset)
+void FleetDirectory::onReadAsk(Incarnation from, Offset offset)
 {
     if (routes_ && configOffset_ >= offset) {
         peers_.send(from, Records { configStream(), configOffset_, { configText_ } });
     }
 }
 
-void FleetBook::onPeerRecords(const Records& records)
+void FleetDirectory::onPeerRecords(const Records& records)
 {
     if (!records.records.empty()) {
         takeConfig(records.first, records.records.front(), "peer");
     }
 }
 
-void FleetBook::logFindings(const char* what, const std::string& key, const Findings& findings)
+void FleetDirectory::logFindings(const char* what, const std::string& key, const Findings& findings)
 {
     logUnreadable(what, key, toText(findings));
 }
 
-void FleetBook::logUnreadable(const char* what, const std::string& key, const std::string& reason)
+void FleetDirectory::logUnreadable(const char* what, const std::string& key, const std::string& reason)
 {
     context_.count("swiftlift_unreadable_records_total", { { "what", what } });
     // Another writer may repeat its record every second, or write ever new ones.
@@ -353,7 +353,7 @@
         return;
     }
     unreadable_.insert({ key, reason });
-    context_.log(Line("unreadable").with("what", what).with("key", key).with("findings", reason));
+    context_.log(LogLineBuilder("unreadable").with("what", what).with("key", key).with("findings", reason));
 }
 
 } // namespace swiftlift::node
--- a/src/node/FleetBook.h
+++ b/src/node/FleetDirectory.h
@@ -46,9 +46,9 @@
  *
  * A record that can't be read changes nothing: it is logged with its findings, and what was read before stays in force.
  */
-class FleetBook {
+class FleetDirectory {
 public:
-    FleetBook(Context& context, Peers& peers, const LogHealth& health, routing::BackendTable& backends,
+    FleetDirectory(Context& context, Peers& peers, const LogHealth& health, routing::BackendTable& backends,
         FleetListener& listener);
 
     void start();
--- a/src/node/Gateway.cpp
+++ b/src/node/Gateway.cpp
@@ -27,14 +27,14 @@
     , fleet_(context_, peers_, health_, backends_, *this)
     , ledgers_(context_, peers_, health_, *this)
     , quarantine_(context_, peers_)
-    , passages_(context_, fleet_, backends_, ledgers_, quarantine_, [this] { return routers(); })
+    , proxyRequests_(context_, fleet_, backends_, ledgers_, quarantine_, [this] { return routers(); })
     , ending_(context_)
 {
 }
 
 void Gateway::start()
 {
-    context_.log(Line("start")
+    context_.log(LogLineBuilder("start")
                      .with("incarnation", toHex(context_.self().value()))
                      .with("peer", context_.settings().peerAddress.value())
                      .with("domain", context_.settings().domain.value())
@@ -45,7 +45,7 @@
     announce();
 }
 
-void Gateway::finishEvent() { passages_.finishEvent(); }
+void Gateway::finishEvent() { proxyRequests_.finishEvent(); }
 
 void Gateway::onConfig(const fleet::FleetConfig& config)
 {
@@ -59,7 +59,7 @@
 
 void Gateway::onServerRestarted(const BackendId& server, Instant aliveAt)
 {
-    passages_.onServerRestarted(server, aliveAt);
+    proxyRequests_.onServerRestarted(server, aliveAt);
 }
 
 void Gateway::onServerSeen(const fleet::BackendServer& server, Instant at)
@@ -95,35 +95,35 @@
 
 std::uint32_t Gateway::routers() const { return std::max({ mostRouters_, static_cast<std::uint32_t>(fleet_.vms()) }); }
 
-void Gateway::on(const PassageArrived& event)
+void Gateway::on(const ProxyRequestArrived& event)
 {
     // What goes wrong otherwise: the platform's entry goes on sending callers for the second or two that it takes to
     // notice a planned stop, and each of them would be refused for nothing.
     if (closing()) {
-        passages_.refuseAtOnce(event.call, event.facts, "stopping", "this VM is leaving");
+        proxyRequests_.refuseImmediately(event.call, event.facts, "stopping", "this VM is leaving");
         return;
     }
     if (std::string reason = unready(); !reason.empty()) {
-        passages_.refuseAtOnce(event.call, event.facts, "not_ready", std::move(reason));
+        proxyRequests_.refuseImmediately(event.call, event.facts, "not_ready", std::move(reason));
         return;
     }
-    passages_.arrive(event.call, event.facts, event.at);
+    proxyRequests_.arrive(event.call, event.facts, event.at);
 }
 
-void Gateway::on(const PassageProgress& event) { passages_.onProgress(event); }
-void Gateway::on(const PassageEnded& event)
+void Gateway::on(const ProxyAttemptProgress& event) { proxyRequests_.onProgress(event); }
+void Gateway::on(const ProxyAttemptEnded& event)
 {
-    passages_.onEnded(event);
-    changes_.noteBackend(passages_.lastBackend(), backends_);
+    proxyRequests_.onEnded(event);
+    changes_.noteBackend(proxyRequests_.lastBackend(), backends_);
 }
-void Gateway::on(const PassageAbandoned& event) { passages_.onAbandoned(event); }
+void Gateway::on(const ProxyRequestAbandoned& event) { proxyRequests_.onAbandoned(event); }
 
 void Gateway::on(const KeyedRecords& event)
 {
     health_.onAnswer(context_.now());
     if (event.stream == Ledgers::checkpointStream()) {
         ledgers_.onCheckpoints(event);
-    } else if (event.stream == QuarantineBook::stream()) {
+    } else if (event.stream == QuarantineCoordinator::stream()) {
         quarantine_.onRecords(event);
     } else {
         fleet_.onRecords(event);
@@ -152,7 +152,7 @@
 
 void Gateway::noteReportAnswer(const StreamName& stream)
 {
-    if (stream == QuarantineBook::stream()) {
+    if (stream == QuarantineCoordinator::stream()) {
         quarantine_.onLogAnswer();
     }
 }
@@ -180,11 +180,11 @@
 {
     const auto* ask = std::get_if<ReadAsk>(&event.message);
     const auto* records = std::get_if<Records>(&event.message);
-    if (ask != nullptr && ask->stream == FleetBook::configStream()) {
+    if (ask != nullptr && ask->stream == FleetDirectory::configStream()) {
         fleet_.onReadAsk(event.sender, ask->from);
-    } else if (records != nullptr && records->stream == FleetBook::configStream()) {
+    } else if (records != nullptr && records->stream == FleetDirectory::configStream()) {
         fleet_.onPeerRecords(*records);
-    } else if (records != nullptr && records->stream == QuarantineBook::stream()) {
+    } else if (records != nullptr && records->stream == QuarantineCoordinator::stream()) {
         quarantine_.onPeerRecords(*records);
     } else if (const auto* relay = std::get_if<RelayAppend>(&event.message)) {
         context_.emit(Append { relay->stream, relay->record, {} });
@@ -203,13 +203,13 @@
     mostRouters_ = std::max(mostRouters_, static_cast<std::uint32_t>(peers_.membership().counts().alive) + 1);
     fleet_.tick(stopRequested_.has_value());
     quarantine_.tick();
-    passages_.tick();
+    proxyRequests_.tick();
     ledgers_.tick(closing());
     backends_.tick(context_.now());
     announce();
     const bool ending = closing() || !retiredReason_.empty();
     if (ending) {
-        ending_.tick(closing(), retiredReason_, { passages_.inProgress(), ledgers_.drained(), ledgers_.unread() });
+        ending_.tick(closing(), retiredReason_, { proxyRequests_.inProgress(), ledgers_.drained(), ledgers_.unread() });
     }
 }
 
@@ -222,7 +222,7 @@
         return;
     }
     announced_ = AnnounceReadiness { ready, close };
-    context_.log(Line("ready").with("ready", ready).with("reason", stopRequested_ ? "stopping" : reason));
+    context_.log(LogLineBuilder("ready").with("ready", ready).with("reason", stopRequested_ ? "stopping" : reason));
     context_.gauge("swiftlift_ready", ready ? 1 : 0);
     context_.emit(*announced_);
 }
@@ -244,8 +244,9 @@
         return;
     }
     stopRequested_ = context_.now();
-    context_.log(
-        Line("stop").with("in_progress", static_cast<std::int64_t>(passages_.inProgress())).with("reason", "asked"));
+    context_.log(LogLineBuilder("stop")
+                     .with("in_progress", static_cast<std::int64_t>(proxyRequests_.inProgress()))
+                     .with("reason", "asked"));
     announce();
 }
 
@@ -259,12 +260,12 @@
         { "incarnation", toHex(context_.self().value()) }, { "peer", context_.settings().peerAddress.value() },
         { "domain", context_.settings().domain.value() }, { "ready", reason.empty() }, { "reason", reason },
         { "stopping", stopRequested_.has_value() }, { "log_reachable", health_.reachable(context_.now()) },
-        { "in_progress", passages_.inProgress() }, { "peers_alive", counts.alive },
+        { "in_progress", proxyRequests_.inProgress() }, { "peers_alive", counts.alive },
         { "config_version", fleet_.routes() ? fleet_.routes()->config().version : 0 }
     }.dump();
 }
 
-void Gateway::onMoneyArrived(const BudgetRef& budget) { passages_.onMoneyArrived(budget); }
+void Gateway::onTokensAvailable(const BudgetRef& budget) { proxyRequests_.onTokensAvailable(budget); }
 
 void Gateway::onRetired(const std::string& reason)
 {
@@ -272,7 +273,7 @@
         return;
     }
     retiredReason_ = reason.empty() ? "retired" : reason;
-    context_.log(Line("retired").with("reason", retiredReason_));
+    context_.log(LogLineBuilder("retired").with("reason", retiredReason_));
 }
 
 Heartbeat Gateway::heartbeat() const
--- a/src/node/Gateway.h
+++ b/src/node/Gateway.h
@@ -5,12 +5,12 @@
 
 #include "node/Context.h"
 #include "node/Ending.h"
-#include "node/FleetBook.h"
+#include "node/FleetDirectory.h"
 #include "node/Ledgers.h"
 #include "node/LogHealth.h"
-#include "node/Passages.h"
 #include "node/Peers.h"
-#include "node/QuarantineBook.h"
+#include "node/ProxyRequests.h"
+#include "node/QuarantineCoordinator.h"
 #include "node/StateChanges.h"
 #include "swiftlift/node/Core.h"
 #include "swiftlift/routing/BackendTable.h"
@@ -26,10 +26,10 @@
     void beginEvent() { }
     void finishEvent();
 
-    void on(const PassageArrived& event);
-    void on(const PassageProgress& event);
-    void on(const PassageEnded& event);
-    void on(const PassageAbandoned& event);
+    void on(const ProxyRequestArrived& event);
+    void on(const ProxyAttemptProgress& event);
+    void on(const ProxyAttemptEnded& event);
+    void on(const ProxyRequestAbandoned& event);
     void on(const KeyedRecords& event);
     void on(const LogRecords& event);
     void on(const LogExpired& event);
@@ -43,7 +43,7 @@
     template <typename Other> void on(const Other&) { }
 
     void onClaimDecided(const RequestKey&, Incarnation) override { }
-    void onMoneyArrived(const BudgetRef& budget) override;
+    void onTokensAvailable(const BudgetRef& budget) override;
     void onRetired(const std::string& reason) override;
     void onConfig(const fleet::FleetConfig& config) override;
     void onServerRestarted(const BackendId& server, Instant aliveAt) override;
@@ -70,10 +70,10 @@
     StateChanges changes_;
     Peers peers_;
     routing::BackendTable backends_;
-    FleetBook fleet_;
+    FleetDirectory fleet_;
     Ledgers ledgers_;
-    QuarantineBook quarantine_;
-    Passages passages_;
+    QuarantineCoordinator quarantine_;
+    ProxyRequests proxyRequests_;
     Ending ending_;
     std::string retiredReason_;
     std::optional<Instant> stopRequested_;
--- a/src/node/Peers.cpp
+++ b/src/node/Peers.cpp
@@ -16,7 +16,7 @@
         result.seeds = settings.seeds;
         result.seed = settings.seed;
         result.witnessPolicy = membership::WitnessPolicy::OwnDomainOnly;
-        result.distantKeeper = settings.answersWaitForBills();
+        result.remoteReplica = settings.answersWaitForBills();
         return result;
     }
 
@@ -45,13 +45,14 @@
 
         void operator()(const membership::SelfPaused& event)
         {
-            context_.log(Line("membership").with("change", "self_paused").with("gap_ms", toMilliseconds(event.gap)));
+            context_.log(
+                LogLineBuilder("membership").with("change", "self_paused").with("gap_ms", toMilliseconds(event.gap)));
         }
 
     private:
         void write(const char* change, Incarnation peer, const PeerAddress& address, const std::string& detail)
         {
-            context_.log(Line("membership")
+            context_.log(LogLineBuilder("membership")
                              .with("change", change)
                              .with("peer", toHex(peer.value()))
                              .with("address", address.value())
--- a/src/node/Placement.cpp
+++ b/src/node/Placement.cpp
@@ -97,7 +97,7 @@
 void Placement::noteChanges()
 {
     for (const auto& change : lease_.takeChanges()) {
-        context_.log(Line("lease")
+        context_.log(LogLineBuilder("lease")
                          .with("change", placement::toText(change.kind))
                          .with("domain", context_.settings().domain.value())
                          .with("holder", toHex(change.holder.value()))
@@ -106,14 +106,14 @@
         const bool begins
             = change.kind == placement::LeaseChangeKind::Taken || change.kind == placement::LeaseChangeKind::Resumed;
         if (begins) {
-            beginTenure();
+            beginLeaseTerm();
         } else {
-            endTenure();
+            endLeaseTerm();
         }
     }
 }
 
-void Placement::beginTenure()
+void Placement::beginLeaseTerm()
 {
     // What was wished before a lapse may have been changed by another holder: the reports tell anew.
     planner_.emplace(placement::PlannerSettings {}, context_.now());
@@ -129,7 +129,7 @@
     needs_.clear();
 }
 
-void Placement::endTenure() { planner_.reset(); }
+void Placement::endLeaseTerm() { planner_.reset(); }
 
 void Placement::refreshCatalogue()
 {
@@ -187,7 +187,7 @@
         tellNeeds();
     }
     planWhenDue();
-    context_.gauge("swiftlift_order_lease_held", lease_.mayOrder(context_.now()) ? 1 : 0);
+    context_.gauge("swiftlift_order_lease_held", lease_.mayIssueOrders(context_.now()) ? 1 : 0);
 }
 
 void Placement::tellNeeds()
@@ -228,10 +228,10 @@
     // What goes wrong: the lease ran out while the plan was made, and the engine gets an order of a router whose
     // successor orders something else. So the lease is asked for each order; an order that is left out is due again in
     // the next plan of whoever has the lease then.
-    if (!lease_.mayOrder(context_.now())) {
+    if (!lease_.mayIssueOrders(context_.now())) {
         return;
     }
-    context_.log(Line("order")
+    context_.log(LogLineBuilder("order")
                      .with("engine", order.backend.value())
                      .with("order", placement::toText(order.kind))
                      .with("name", order.model)
@@ -253,7 +253,7 @@
     }
     nextBlocked_ = context_.now() + blockedPeriod;
     for (const auto& blocked : planner_->blocked()) {
-        context_.log(Line("order")
+        context_.log(LogLineBuilder("order")
                          .with("order", "none")
                          .with("name", blocked.model)
                          .with("reason", "no engine of the domain can take it")
--- a/src/node/Placement.h
+++ b/src/node/Placement.h
@@ -52,8 +52,8 @@
     void apply(Offset offset, const std::string& bytes);
     void onNeed(const placement::Need& need);
     void noteChanges();
-    void endTenure();
-    void beginTenure();
+    void endLeaseTerm();
+    void beginLeaseTerm();
     void refreshCatalogue();
     void planWhenDue();
     void sendOrder(const placement::Order& order);
--- a/src/node/Passage.h
+++ b/src/node/ProxyRequest.h
@@ -5,21 +5,21 @@
 #include <set>
 #include <string>
 
-#include "node/FleetBook.h"
+#include "node/FleetDirectory.h"
 #include "swiftlift/ledger/Fold.h"
 #include "swiftlift/ledger/Holder.h"
-#include "swiftlift/node/Passage.h"
+#include "swiftlift/node/ProxyRequest.h"
 #include "swiftlift/quarantine/Report.h"
 #include "swiftlift/request/Outcome.h"
 
 namespace swiftlift::node {
 
-enum class PassagePhase : std::uint8_t { WaitingForMoney, WaitingForBackend, Running };
+enum class ProxyPhase : std::uint8_t { WaitingForMoney, WaitingForBackend, Running };
 
 /** One request that is passed on as it came, in progress at this router. */
-struct Passage {
+struct ProxyRequest {
     CallId id;
-    PassageFacts facts;
+    ProxyRequestInfo facts;
     /** The configuration it came under stays its own, whatever comes into force meanwhile. */
     RouteTablePtr table;
     const fleet::Route* route = nullptr;
@@ -27,7 +27,7 @@
     /** Nobody's: the route is open. */
     const fleet::Account* account = nullptr;
     std::uint32_t urgency = 0;
-    PassagePhase phase = PassagePhase::WaitingForMoney;
+    ProxyPhase phase = ProxyPhase::WaitingForMoney;
     /** When its first event was passed on. */
     std::optional<Instant> firstEventAt;
     Instant arrived {};
@@ -61,7 +61,7 @@
     {
         return facts.content ? std::optional(quarantine::Fingerprint { accountId(), *facts.content }) : std::nullopt;
     }
-    [[nodiscard]] quarantine::ServerLife backendLife() const { return { backend, backendStartedAt }; }
+    [[nodiscard]] quarantine::BackendInstance backendInstance() const { return { backend, backendStartedAt }; }
     /** @return Whether another backend server may run it, though one may have run it already. */
     [[nodiscard]] bool mayRunAgain() const
     {
@@ -79,7 +79,7 @@
 };
 
 /** Why a passage ends without an answer, and when asking again is worth it. */
-struct PassageRefusal {
+struct ProxyRefusal {
     int status = 503;
     std::string reason;
     std::string detail;
--- a/src/node/Passages.cpp
+++ b/src/node/ProxyRequests.cpp
@@ -1,4 +1,4 @@
-#include "node/Passages.h"
+#include "node/ProxyRequests.h"
 
 #include <algorithm>
 #include <cassert>
@@ -8,7 +8,7 @@
 
 namespace internal {
 
-    [[nodiscard]] routing::SelectorSettings passageSelectorSettings(const CoreSettings& settings)
+    [[nodiscard]] routing::SelectorSettings proxySelectorSettings(const CoreSettings& settings)
     {
         routing::SelectorSettings result;
         result.domain = settings.domain;
@@ -17,7 +17,7 @@
     }
 
     /** Spreads requests over a route's targets by what is new with each of them. */
-    [[nodiscard]] std::uint64_t drawOf(const PassageFacts& facts) { return std::hash<std::string> {}(facts.id); }
+    [[nodiscard]] std::uint64_t drawOf(const ProxyRequestInfo& facts) { return std::hash<std::string> {}(facts.id); }
 
 } // namespace internal
 
@@ -27,46 +27,49 @@
     return name;
 }
 
-Passages::Passages(Context& context, const FleetBook& fleet, routing::BackendTable& backends, Ledgers& ledgers,
-    QuarantineBook& quarantine, std::function<std::uint32_t()> routers)
+ProxyRequests::ProxyRequests(Context& context, const FleetDirectory& fleet, routing::BackendTable& backends,
+    Ledgers& ledgers, QuarantineCoordinator& quarantine, std::function<std::uint32_t()> routers)
     : context_(context)
     , fleet_(fleet)
     , backends_(backends)
     , ledgers_(ledgers)
     , quarantine_(quarantine)
     , routers_(std::move(routers))
-    , selector_(routing::makeSelector(
-          context.settings().routingPolicy, internal::passageSelectorSettings(context.settings())))
+    , selector_(
+          routing::makeSelector(context.settings().routingPolicy, internal::proxySelectorSettings(context.settings())))
 {
     assert(selector_ != nullptr && "the settings' check lets only known policies through");
 }
 
-void Passages::refuseAtOnce(CallId id, const PassageFacts& facts, std::string reason, std::string detail)
+void ProxyRequests::refuseImmediately(CallId id, const ProxyRequestInfo& facts, std::string reason, std::string detail)
 {
-    const PassageRefusal why { 503, std::move(reason), std::move(detail), notReadyRetry };
-    logRefusal(
-        why, Line("refuse").with("request", facts.id).with("outcome", "not_run").with("after_ms", std::int64_t { 0 }));
+    const ProxyRefusal why { 503, std::move(reason), std::move(detail), notReadyRetry };
+    logRefusal(why,
+        LogLineBuilder("refuse")
+            .with("request", facts.id)
+            .with("outcome", "not_run")
+            .with("after_ms", std::int64_t { 0 }));
     context_.emit(Reply { id, Outcome::NotRun, why.status, why.reason, why.detail, why.retryAfter, Tokens {} });
 }
 
-void Passages::arrive(CallId id, const PassageFacts& facts, Instant at)
+void ProxyRequests::arrive(CallId id, const ProxyRequestInfo& facts, Instant at)
 {
     context_.count("swiftlift_requests_total");
-    auto arrived = std::make_unique<Passage>();
+    auto arrived = std::make_unique<ProxyRequest>();
     arrived->id = id;
     arrived->facts = facts;
     arrived->table = fleet_.routes();
     arrived->arrived = std::min(at, context_.now());
-    Passage& passage = *passages_.emplace(id, std::move(arrived)).first->second;
-    enter(passage, PassagePhase::WaitingForMoney);
-    if (!findRoute(passage) || !findAccount(passage) || !findService(passage) || refuseConfined(passage)) {
+    ProxyRequest& passage = *proxyRequests_.emplace(id, std::move(arrived)).first->second;
+    enter(passage, ProxyPhase::WaitingForMoney);
+    if (!findRoute(passage) || !findAccount(passage) || !findService(passage) || refuseQuarantined(passage)) {
         return;
     }
     stateOf(passage).retries.onRequest(context_.now());
     seekMoney(passage);
 }
 
-bool Passages::findRoute(Passage& passage)
+bool ProxyRequests::findRoute(ProxyRequest& passage)
 {
     passage.route = passage.table->find(passage.facts.host, passage.facts.path);
     if (passage.route == nullptr) {
@@ -84,9 +87,9 @@
     return true;
 }
 
-bool Passages::findAccount(Passage& passage)
+bool ProxyRequests::findAccount(ProxyRequest& passage)
 {
-    if (!passage.table->keysNeeded() || passage.route->open) {
+    if (!passage.table->requiresKeys() || passage.route->open) {
         return true;
     }
     passage.account = passage.table->accountOf(passage.facts.key);
@@ -98,7 +101,7 @@
     return true;
 }
 
-void Passages::refuseAsUnknown(Passage& passage, const PassageRefusal& why)
+void ProxyRequests::refuseAsUnknown(ProxyRequest& passage, const ProxyRefusal& why)
 {
     if (fleet_.confirmed()) {
         giveUp(passage, why);
@@ -109,7 +112,7 @@
         passage, { 503, "config_unconfirmed", why.reason + " by a configuration that may be old", defaultRetryAfter });
 }
 
-bool Passages::findService(Passage& passage)
+bool ProxyRequests::findService(ProxyRequest& passage)
 {
     const ServiceName name = fleet::RouteTable::target(*passage.route, internal::drawOf(passage.facts));
     passage.service = passage.table->service(name);
@@ -124,10 +127,10 @@
 }
 
 // The status says that it has not run, and to whom it is due; the time, that asking again soon is in vain.
-bool Passages::refuseConfined(Passage& passage)
+bool ProxyRequests::refuseQuarantined(ProxyRequest& passage)
 {
     const auto request = passage.fingerprint();
-    const auto confined = request ? quarantine_.confinement(*request) : std::nullopt;
+    const auto confined = request ? quarantine_.quarantineEntry(*request) : std::nullopt;
     if (!confined) {
         return false;
     }
@@ -137,11 +140,17 @@
     return true;
 }
 
-BudgetRef Passages::budgetOf(const Passage& passage) const { return { passage.accountId(), prepaidBudget() }; }
+BudgetRef ProxyRequests::budgetOf(const ProxyRequest& passage) const
+{
+    return { passage.accountId(), prepaidBudget() };
+}
 
-RequestKey Passages::keyOf(const Passage& passage) const { return { context_.self().value(), passage.id.value() }; }
+RequestKey ProxyRequests::keyOf(const ProxyRequest& passage) const
+{
+    return { context_.self().value(), passage.id.value() };
+}
 
-void Passages::seekMoney(Passage& passage)
+void ProxyRequests::seekMoney(ProxyRequest& passage)
 {
     if (passage.cost <= Tokens {}) {
         seekBackend(passage);
@@ -172,19 +181,19 @@
 // for all: callers who want an answer within 200 ms are told no after 600. One notices by refusals that all come at
 // that time. Once the objective has passed, the answer would be late whatever comes, and its caller is better told to
 // come back.
-Duration Passages::patienceForMoney(const Passage& passage) const
+Duration ProxyRequests::patienceForMoney(const ProxyRequest& passage) const
 {
     return std::clamp<Duration>(passage.route->objective, leastMoneyPatience, moneyPatience);
 }
 
-KnownBudget Passages::knownOf(const Passage& passage) const
+KnownBudget ProxyRequests::knownOf(const ProxyRequest& passage) const
 {
     const ShardLedger& shard = ledgers_.of(passage.accountId());
     const auto figures = shard.fold().budget(budgetOf(passage));
     return { figures.value_or(ledger::BudgetView {}), shard.fold().nextOffset(), shard.logInReach() };
 }
 
-void Passages::finishEvent()
+void ProxyRequests::finishEvent()
 {
     for (const BudgetRef& budget : std::exchange(moneyArrived_, {})) {
         spendArrived(budget);
@@ -194,7 +203,7 @@
 // What goes wrong when each that waits is tried at each arrival: with a hundred in line, every bill that is read and
 // every answer that ends costs a hundred tries, the router has no time left to read its own draws, and the line grows.
 // One notices by `read_to` that stands still while callers are refused.
-void Passages::spendArrived(const BudgetRef& budget)
+void ProxyRequests::spendArrived(const BudgetRef& budget)
 {
     const auto line = moneyLines_.find(budget);
     if (line == moneyLines_.end()) {
@@ -208,7 +217,7 @@
         if (most <= Tokens {}) {
             return;
         }
-        Passage* passage = find(id);
+        ProxyRequest* passage = find(id);
         if (passage == nullptr || passage->cost > most) {
             continue;
         }
@@ -217,20 +226,20 @@
     }
 }
 
-void Passages::retryForMoney()
+void ProxyRequests::retryForMoney()
 {
     std::vector<CallId> waiting;
     for (const auto& [budget, line] : moneyLines_) {
         waiting.insert(waiting.end(), line.begin(), line.end());
     }
     for (const CallId id : waiting) {
-        if (Passage* passage = find(id)) {
+        if (ProxyRequest* passage = find(id)) {
             seekMoney(*passage);
         }
     }
 }
 
-void Passages::leaveMoneyLine(const Passage& passage)
+void ProxyRequests::leaveMoneyLine(const ProxyRequest& passage)
 {
     const auto line = moneyLines_.find(budgetOf(passage));
     if (line == moneyLines_.end() || line->second.erase(passage.id) == 0) {
@@ -241,7 +250,7 @@
     }
 }
 
-void Passages::tick()
+void ProxyRequests::tick()
 {
     expire();
     billUncounted();
@@ -254,27 +263,27 @@
     }
 }
 
-void Passages::enter(Passage& passage, PassagePhase phase)
+void ProxyRequests::enter(ProxyRequest& passage, ProxyPhase phase)
 {
     passage.phase = phase;
     passage.since = context_.now();
 }
 
-Passages::ServiceState& Passages::stateOf(const Passage& passage)
+ProxyRequests::ServiceState& ProxyRequests::stateOf(const ProxyRequest& passage)
 {
     return services_
         .try_emplace(passage.service->name,
-            ServiceState { routing::Admission(mostWaiting), routing::RetryShare(context_.settings().retries) })
+            ServiceState { routing::Admission(maxWaiting), routing::RetryShare(context_.settings().retries) })
         .first->second;
 }
 
-Passage* Passages::find(CallId id)
+ProxyRequest* ProxyRequests::find(CallId id)
 {
-    const auto found = passages_.find(id);
-    return found == passages_.end() ? nullptr : found->second.get();
+    const auto found = proxyRequests_.find(id);
+    return found == proxyRequests_.end() ? nullptr : found->second.get();
 }
 
-Passage* Passages::ofAttempt(AttemptId attempt)
+ProxyRequest* ProxyRequests::ofAttempt(AttemptId attempt)
 {
     const auto found = byAttempt_.find(attempt);
     return found == byAttempt_.end() ? nullptr : find(found->second);
--- a/src/node/PassagesDispatch.cpp
+++ b/src/node/ProxyRequestsDispatch.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "node/Passages.h"
+#include "node/ProxyRequests.h"
 
 namespace swiftlift::node {
 
@@ -33,38 +33,38 @@
         return sum;
     }
 
-    [[nodiscard]] routing::EndKind toEndKind(PassageEnd end)
+    [[nodiscard]] routing::EndKind toEndKind(ProxyAttemptEnd end)
     {
         switch (end) {
-        case PassageEnd::Completed:
+        case ProxyAttemptEnd::Completed:
             return routing::EndKind::Completed;
-        case PassageEnd::Refused:
+        case ProxyAttemptEnd::Refused:
             return routing::EndKind::NotStarted;
-        case PassageEnd::Misdirected:
+        case ProxyAttemptEnd::Misdirected:
             return routing::EndKind::Leaving;
-        case PassageEnd::Failed:
+        case ProxyAttemptEnd::Failed:
             return routing::EndKind::Failed;
-        case PassageEnd::Unreachable:
-        case PassageEnd::Broken:
+        case ProxyAttemptEnd::Unreachable:
+        case ProxyAttemptEnd::Broken:
             return routing::EndKind::Broken;
         }
         return routing::EndKind::Broken;
     }
 
-    [[nodiscard]] const char* toText(PassageEnd end)
+    [[nodiscard]] const char* toText(ProxyAttemptEnd end)
     {
         switch (end) {
-        case PassageEnd::Completed:
+        case ProxyAttemptEnd::Completed:
             return "completed";
-        case PassageEnd::Unreachable:
+        case ProxyAttemptEnd::Unreachable:
             return "unreachable";
-        case PassageEnd::Refused:
+        case ProxyAttemptEnd::Refused:
             return "refused";
-        case PassageEnd::Misdirected:
+        case ProxyAttemptEnd::Misdirected:
             return "misdirected";
-        case PassageEnd::Failed:
+        case ProxyAttemptEnd::Failed:
             return "failed";
-        case PassageEnd::Broken:
+        case ProxyAttemptEnd::Broken:
             return "broken";
         }
         return "broken";
@@ -72,14 +72,14 @@
 
 } // namespace internal
 
-routing::SelectRequest Passages::selectRequest(const Passage& passage) const
+routing::SelectRequest ProxyRequests::selectRequest(const ProxyRequest& passage) const
 {
     routing::SelectRequest request;
     request.service = passage.service->name;
     request.priority = internal::priorityOf(passage.urgency);
     request.idempotent = passage.mayRunAgain();
     request.excluded = passage.excluded;
-    request.doubtful = reach_.doubtful(context_.now());
+    request.unreachableDomains = reach_.unreachableDomains(context_.now());
     if (passage.route->sharesPrefixes && !passage.facts.prefix.empty()) {
         request.prefixHash = internal::sharedPrefix(passage.facts.prefix);
         request.sharedTokens = internal::sharedTokens(passage.facts.prefix);
@@ -89,16 +89,16 @@
     return request;
 }
 
-routing::WaitingCall Passages::waitingCall(const Passage& passage) const
+routing::WaitingCall ProxyRequests::waitingCall(const ProxyRequest& passage) const
 {
     return { passage.id, passage.accountId(), 1, std::max(passage.cost, Tokens { 1 }),
         internal::priorityOf(passage.urgency), passage.deadline };
 }
 
-std::optional<Duration> Passages::silenceLimit(const Passage& passage) const
+std::optional<Duration> ProxyRequests::silenceLimit(const ProxyRequest& passage) const
 {
     // A backend server's silence is no reason to end what can't be had elsewhere.
-    if (!passage.mayRunAgain() || passage.runs + 1 >= passage.route->mostServers) {
+    if (!passage.mayRunAgain() || passage.runs + 1 >= passage.route->maxServers) {
         return std::nullopt;
     }
     if (passage.route->answer == fleet::AnswerKind::Events) {
@@ -107,9 +107,9 @@
     return std::max<Duration>(passage.route->objective * silentObjectives, leastSilence);
 }
 
-void Passages::seekBackend(Passage& passage)
+void ProxyRequests::seekBackend(ProxyRequest& passage)
 {
-    enter(passage, PassagePhase::WaitingForBackend);
+    enter(passage, ProxyPhase::WaitingForBackend);
     const auto choice = selector_->choose(selectRequest(passage), backends_, context_.now());
     if (!choice && selector_->noChoice() == routing::NoChoice::NoBackend) {
         if (passage.failureKept) {
@@ -127,26 +127,26 @@
     }
 }
 
-bool Passages::admitted(Passage& passage, const routing::Admitted& verdict)
+bool ProxyRequests::admitted(ProxyRequest& passage, const routing::AdmissionDecision& verdict)
 {
     const CallId id = passage.id;
     for (const CallId displaced : verdict.displaced) {
-        if (Passage* loser = find(displaced)) {
+        if (ProxyRequest* loser = find(displaced)) {
             giveUp(*loser, { 429, "account_over_share", "gave way to accounts below their share", defaultRetryAfter });
         }
     }
-    if (verdict.verdict != routing::Verdict::Refuse) {
-        return verdict.verdict == routing::Verdict::Dispatch;
+    if (verdict.verdict != routing::AdmissionVerdict::Refuse) {
+        return verdict.verdict == routing::AdmissionVerdict::Dispatch;
     }
     const bool overShare = verdict.refusal == routing::AdmissionRefusal::AccountOverShare;
-    if (Passage* refused = find(id)) {
+    if (ProxyRequest* refused = find(id)) {
         giveUp(
             *refused, { overShare ? 429 : 503, routing::toText(verdict.refusal), verdict.detail, verdict.retryAfter });
     }
     return false;
 }
 
-void Passages::pump(const ServiceName& service)
+void ProxyRequests::pump(const ServiceName& service)
 {
     const auto state = services_.find(service);
     if (state == services_.end()) {
@@ -154,7 +154,7 @@
     }
     routing::FairQueue& waiting = state->second.admission.queue();
     while (const auto next = waiting.peek()) {
-        Passage* passage = find(next->call);
+        ProxyRequest* passage = find(next->call);
         if (passage == nullptr) {
             waiting.remove(next->call);
             continue;
@@ -172,10 +172,10 @@
     }
 }
 
-void Passages::dispatch(Passage& passage, const routing::Choice& choice)
+void ProxyRequests::dispatch(ProxyRequest& passage, const routing::Choice& choice)
 {
     // It may have waited here while backend servers ended under it elsewhere.
-    if (refuseConfined(passage)) {
+    if (refuseQuarantined(passage)) {
         return;
     }
     const fleet::BackendServer* server = fleet_.server(choice.backend);
@@ -183,7 +183,7 @@
         giveUp(passage, { 503, "no_backend", "the backend server is not registered any more", defaultRetryAfter });
         return;
     }
-    enter(passage, PassagePhase::Running);
+    enter(passage, ProxyPhase::Running);
     passage.attempt = AttemptId { ++lastAttempt_ };
     passage.backend = choice.backend;
     passage.backendStartedAt = server->startedAt;
@@ -192,9 +192,9 @@
     byAttempt_[passage.attempt] = passage.id;
     const auto& parts = passage.facts.prefix;
     const Tokens own = parts.empty() ? passage.facts.promptTokens : parts.back().tokens;
-    const Tokens toRead = own + (choice.readsShared ? internal::sharedTokens(parts) : Tokens {});
+    const Tokens toRead = own + (choice.prefillsSharedPart ? internal::sharedTokens(parts) : Tokens {});
     backends_.onDispatched(choice.backend, passage.attempt, { 0, toRead, choice.predictedFirstToken }, context_.now());
-    context_.log(Line("route")
+    context_.log(LogLineBuilder("route")
                      .with("request", passage.facts.id)
                      .with("content", toHex(passage.facts.content))
                      .with("account", passage.accountId().value())
@@ -208,7 +208,7 @@
                      .with("left_ms", toMilliseconds(passage.deadline - context_.now()))
                      .with("predicted_first_ms", toMilliseconds(choice.predictedFirstToken))
                      .with("reason", choice.reason));
-    PassOn order;
+    ProxyDispatch order;
     order.call = passage.id;
     order.attempt = passage.attempt;
     order.backend = choice.backend;
@@ -222,9 +222,9 @@
     context_.emit(std::move(order));
 }
 
-void Passages::onProgress(const PassageProgress& progress)
+void ProxyRequests::onProgress(const ProxyAttemptProgress& progress)
 {
-    Passage* passage = ofAttempt(progress.attempt);
+    ProxyRequest* passage = ofAttempt(progress.attempt);
     if (passage == nullptr) {
         return;
     }
@@ -233,15 +233,15 @@
     if (first) {
         passage->firstEventAt = context_.now();
         backends_.onFirstToken(passage->backend, passage->attempt, context_.now());
-        reach_.onReached(passage->domain);
-        quarantine_.onServerAnswered(passage->backendLife(), passage->since);
+        reach_.onBackendReached(passage->domain);
+        quarantine_.onServerAnswered(passage->backendInstance(), passage->since);
         stateOf(*passage).admission.onFirstToken(context_.now() - passage->since);
     }
 }
 
-void Passages::onEnded(const PassageEnded& ended)
+void ProxyRequests::onEnded(const ProxyAttemptEnded& ended)
 {
-    Passage* passage = ofAttempt(ended.attempt);
+    ProxyRequest* passage = ofAttempt(ended.attempt);
     if (passage == nullptr) {
         // A late word on an attempt that was given up: its caller has its final answer already.
         billEnded(ended);
@@ -250,13 +250,13 @@
     const ServiceName service = passage->service->name;
     lastBackend_ = passage->backend;
     passage->events = std::max(passage->events, ended.events);
-    if (ended.end == PassageEnd::Completed && passage->route->answer == fleet::AnswerKind::Whole) {
+    if (ended.end == ProxyAttemptEnd::Completed && passage->route->answer == fleet::AnswerKind::Whole) {
         backends_.onFirstToken(passage->backend, passage->attempt, context_.now());
     }
     noteReach(*passage, ended.end);
     noteLoss(*passage, ended);
     closeAttempt(*passage, internal::toEndKind(ended.end));
-    if (ended.end == PassageEnd::Completed) {
+    if (ended.end == ProxyAttemptEnd::Completed) {
         complete(*passage, ended);
     } else {
         tryElsewhere(*passage, ended);
@@ -266,33 +266,33 @@
 
 // What goes wrong otherwise: a server that loses its power closes no connection, and what ran there is waited for until
 // its caller has left, though its next life has registered already and another server could answer.
-void Passages::onServerRestarted(const BackendId& server, Instant aliveAt)
+void ProxyRequests::onServerRestarted(const BackendId& server, Instant aliveAt)
 {
-    std::vector<PassageEnded> lost;
+    std::vector<ProxyAttemptEnded> lost;
     for (const auto& [attempt, call] : byAttempt_) {
-        const Passage* passage = find(call);
+        const ProxyRequest* passage = find(call);
         if (passage != nullptr && passage->backend == server && passage->since < aliveAt) {
             lost.push_back(
-                { attempt, PassageEnd::Broken, 0, passage->events, "the backend server started again", true });
+                { attempt, ProxyAttemptEnd::Broken, 0, passage->events, "the backend server started again", true });
         }
     }
-    for (const PassageEnded& ended : lost) {
+    for (const ProxyAttemptEnded& ended : lost) {
         context_.emit(CancelAttempt { ended.attempt });
         onEnded(ended);
     }
 }
 
-void Passages::noteReach(const Passage& passage, PassageEnd end)
+void ProxyRequests::noteReach(const ProxyRequest& passage, ProxyAttemptEnd end)
 {
     const Instant now = context_.now();
-    const bool before = reach_.doubts(passage.domain, now);
-    if (end == PassageEnd::Unreachable) {
-        reach_.onUnreached(passage.domain, passage.backend, now);
-    } else if (end != PassageEnd::Broken) {
-        reach_.onReached(passage.domain);
-    }
-    if (const bool after = reach_.doubts(passage.domain, now); after != before) {
-        context_.log(Line("domain")
+    const bool before = reach_.seemsUnreachable(passage.domain, now);
+    if (end == ProxyAttemptEnd::Unreachable) {
+        reach_.onBackendUnreachable(passage.domain, passage.backend, now);
+    } else if (end != ProxyAttemptEnd::Broken) {
+        reach_.onBackendReached(passage.domain);
+    }
+    if (const bool after = reach_.seemsUnreachable(passage.domain, now); after != before) {
+        context_.log(LogLineBuilder("domain")
                          .with("domain", passage.domain.value())
                          .with("change", after ? "doubtful" : "reached")
                          .with("request", passage.facts.id)
@@ -300,26 +300,26 @@
     }
 }
 
-void Passages::noteLoss(const Passage& passage, const PassageEnded& ended)
+void ProxyRequests::noteLoss(const ProxyRequest& passage, const ProxyAttemptEnded& ended)
 {
-    const bool answered = ended.end == PassageEnd::Completed;
-    if (answered || ended.end == PassageEnd::Failed || ended.end == PassageEnd::Refused) {
-        quarantine_.onServerAnswered(passage.backendLife(), passage.since);
+    const bool answered = ended.end == ProxyAttemptEnd::Completed;
+    if (answered || ended.end == ProxyAttemptEnd::Failed || ended.end == ProxyAttemptEnd::Refused) {
+        quarantine_.onServerAnswered(passage.backendInstance(), passage.since);
     }
     const auto request = passage.fingerprint();
     if (request && answered) {
         quarantine_.onAnswered(*request);
     } else if (request && ended.connectionLost) {
-        quarantine_.onLost(*request, passage.backendLife(), passage.facts.id);
+        quarantine_.onRequestLost(*request, passage.backendInstance(), passage.facts.id);
     }
 }
 
-void Passages::tryElsewhere(Passage& passage, const PassageEnded& ended)
+void ProxyRequests::tryElsewhere(ProxyRequest& passage, const ProxyAttemptEnded& ended)
 {
-    const bool mayHaveRun = ended.end == PassageEnd::Failed || ended.end == PassageEnd::Broken;
+    const bool mayHaveRun = ended.end == ProxyAttemptEnd::Failed || ended.end == ProxyAttemptEnd::Broken;
     passage.runs += mayHaveRun ? 1 : 0;
-    passage.failureKept = passage.failureKept || ended.end == PassageEnd::Failed;
-    context_.log(Line("attempt_failed")
+    passage.failureKept = passage.failureKept || ended.end == ProxyAttemptEnd::Failed;
+    context_.log(LogLineBuilder("attempt_failed")
                      .with("request", passage.facts.id)
                      .with("content", toHex(passage.facts.content))
                      .with("backend", passage.backend.value())
@@ -340,15 +340,15 @@
     }
 }
 
-std::string Passages::objectionToRepeat(Passage& passage)
+std::string ProxyRequests::objectionToRepeat(ProxyRequest& passage)
 {
     if (passage.runs > 0 && !passage.mayRunAgain()) {
         return "it may run only once";
     }
-    if (const auto request = passage.fingerprint(); request && quarantine_.confinement(*request)) {
+    if (const auto request = passage.fingerprint(); request && quarantine_.quarantineEntry(*request)) {
         return "too many backend servers ended under it";
     }
-    if (passage.runs >= passage.route->mostServers) {
+    if (passage.runs >= passage.route->maxServers) {
         return "as many backend servers as the route allows may have run it";
     }
     if (passage.offers >= mostOffers) {
--- a/src/node/PassagesEnd.cpp
+++ b/src/node/ProxyRequestsEnd.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 #include <vector>
 
-#include "node/Passages.h"
+#include "node/ProxyRequests.h"
 
 namespace swiftlift::node {
 
@@ -15,11 +15,11 @@
 
 } // namespace
 
-void Passages::complete(Passage& passage, const PassageEnded& ended)
+void ProxyRequests::complete(ProxyRequest& passage, const ProxyAttemptEnded& ended)
 {
     passage.runs += 1;
     const Tokens billed = settle(passage, usedWhole(passage));
-    context_.log(Line("answered")
+    context_.log(LogLineBuilder("answered")
                      .with("request", passage.facts.id)
                      .with("account", passage.accountId().value())
                      .with("backend", passage.backend.value())
@@ -32,33 +32,33 @@
     end(passage);
 }
 
-void Passages::passFailureOn(Passage& passage, const std::string& why)
+void ProxyRequests::passFailureOn(ProxyRequest& passage, const std::string& why)
 {
-    context_.log(Line("failure_passed_on")
+    context_.log(LogLineBuilder("failure_passed_on")
                      .with("request", passage.facts.id)
                      .with("account", passage.accountId().value())
                      .with("backend", passage.backend.value())
                      .with("not_repeated", why)
                      .with("took_ms", toMilliseconds(context_.now() - passage.arrived)));
     context_.count("swiftlift_failures_passed_on_total");
-    context_.emit(PassFailureOn { passage.id });
+    context_.emit(ProxyFailureReply { passage.id });
     endOnceCounted(passage, passage.attempt);
 }
 
-void Passages::giveUp(Passage& passage, const PassageRefusal& why)
+void ProxyRequests::giveUp(ProxyRequest& passage, const ProxyRefusal& why)
 {
     const AttemptId attempt = passage.attempt;
-    const bool running = passage.phase == PassagePhase::Running && attempt != AttemptId {};
+    const bool running = passage.phase == ProxyPhase::Running && attempt != AttemptId {};
     passage.runs += running ? 1 : 0;
     cancelAttempt(passage);
     const Outcome outcome = passage.runs > 0 ? Outcome::Unknown : Outcome::NotRun;
-    PassageRefusal told = why;
+    ProxyRefusal told = why;
     // These statuses say that a request has not run. Of one that may have run, that would be a lie.
     if (passage.runs > 0 && (why.status == statusTooMany || why.status == statusUnavailable)) {
         told.status = statusBadGateway;
     }
     logRefusal(told,
-        Line("refuse")
+        LogLineBuilder("refuse")
             .with("request", passage.facts.id)
             .with("account", passage.accountId().value())
             .with("config", static_cast<std::int64_t>(passage.table->config().version))
@@ -73,7 +73,7 @@
 // caller pays for what it never got. One notices by bills of a whole reservation beside streams that ended early. What
 // was passed on until the transport cuts the answer, only the transport knows; the reservation is kept until it says
 // so.
-void Passages::endOnceCounted(Passage& passage, AttemptId attempt)
+void ProxyRequests::endOnceCounted(ProxyRequest& passage, AttemptId attempt)
 {
     if (passage.offers == 0 || !passage.reservation) {
         settle(passage, {});
@@ -84,26 +84,26 @@
     cut_.emplace(id, CutAnswer { remove(passage), attempt, context_.now() + countPatience });
 }
 
-void Passages::billAbandoned(const PassageAbandoned& abandoned)
+void ProxyRequests::billAbandoned(const ProxyRequestAbandoned& abandoned)
 {
     if (const auto cut = cut_.find(abandoned.call); cut != cut_.end()) {
-        Passage& passage = *cut->second.passage;
+        ProxyRequest& passage = *cut->second.passage;
         passage.events = std::max(passage.events, abandoned.events);
         billCut(cut, used(passage));
     }
 }
 
-void Passages::billEnded(const PassageEnded& ended)
+void ProxyRequests::billEnded(const ProxyAttemptEnded& ended)
 {
     const auto cut = std::ranges::find(cut_, ended.attempt, [](const auto& entry) { return entry.second.attempt; });
     if (cut != cut_.end()) {
-        Passage& passage = *cut->second.passage;
+        ProxyRequest& passage = *cut->second.passage;
         passage.events = std::max(passage.events, ended.events);
-        billCut(cut, ended.end == PassageEnd::Completed ? usedWhole(passage) : used(passage));
+        billCut(cut, ended.end == ProxyAttemptEnd::Completed ? usedWhole(passage) : used(passage));
     }
 }
 
-void Passages::billUncounted()
+void ProxyRequests::billUncounted()
 {
     for (auto cut = cut_.begin(); cut != cut_.end();) {
         const auto next = std::next(cut);
@@ -114,11 +114,11 @@
     }
 }
 
-void Passages::billCut(CutAnswers::iterator cut, Tokens actual)
+void ProxyRequests::billCut(CutAnswers::iterator cut, Tokens actual)
 {
-    Passage& passage = *cut->second.passage;
+    ProxyRequest& passage = *cut->second.passage;
     if (const Tokens billed = settle(passage, actual); billed > Tokens {}) {
-        context_.log(Line("cut_billed")
+        context_.log(LogLineBuilder("cut_billed")
                          .with("request", passage.facts.id)
                          .with("account", passage.accountId().value())
                          .with("events", static_cast<std::int64_t>(passage.events))
@@ -127,7 +127,7 @@
     cut_.erase(cut);
 }
 
-void Passages::logRefusal(const PassageRefusal& why, Line line)
+void ProxyRequests::logRefusal(const ProxyRefusal& why, LogLineBuilder line)
 {
     line = line.with("status", static_cast<std::int64_t>(why.status))
                .with("reason", why.reason)
@@ -144,19 +144,19 @@
     context_.count("swiftlift_refusals_total", { { "reason", why.reason } });
 }
 
-void Passages::onAbandoned(const PassageAbandoned& abandoned)
+void ProxyRequests::onAbandoned(const ProxyRequestAbandoned& abandoned)
 {
-    Passage* passage = find(abandoned.call);
+    ProxyRequest* passage = find(abandoned.call);
     if (passage == nullptr) {
         billAbandoned(abandoned);
         return;
     }
     passage->events = std::max(passage->events, abandoned.events);
     const ServiceName service = passage->service->name;
-    passage->runs += passage->phase == PassagePhase::Running ? 1 : 0;
+    passage->runs += passage->phase == ProxyPhase::Running ? 1 : 0;
     cancelAttempt(*passage);
     const Tokens billed = settle(*passage, used(*passage));
-    context_.log(Line("caller_gone")
+    context_.log(LogLineBuilder("caller_gone")
                      .with("request", passage->facts.id)
                      .with("account", passage->accountId().value())
                      .with("events", static_cast<std::int64_t>(passage->events))
@@ -166,16 +166,16 @@
     pump(service);
 }
 
-void Passages::cancelAttempt(Passage& passage)
+void ProxyRequests::cancelAttempt(ProxyRequest& passage)
 {
-    if (passage.phase != PassagePhase::Running || passage.attempt == AttemptId {}) {
+    if (passage.phase != ProxyPhase::Running || passage.attempt == AttemptId {}) {
         return;
     }
     context_.emit(CancelAttempt { passage.attempt });
     closeAttempt(passage, routing::EndKind::Cancelled);
 }
 
-void Passages::closeAttempt(Passage& passage, routing::EndKind kind)
+void ProxyRequests::closeAttempt(ProxyRequest& passage, routing::EndKind kind)
 {
     backends_.onFinished(passage.backend, passage.attempt, { kind, Tokens {}, Tokens {} }, context_.now());
     byAttempt_.erase(passage.attempt);
@@ -188,7 +188,7 @@
 // first event, and requests that fail or break off there, pay for nothing. One notices by `caller_gone` lines
 // with 0 events and a bill, and by accounts that are refused with 402 though they were given less than they
 // bought.
-Tokens Passages::used(const Passage& passage) const
+Tokens ProxyRequests::used(const ProxyRequest& passage) const
 {
     if (passage.events == 0) {
         return {};
@@ -199,12 +199,12 @@
 }
 
 // How many tokens a whole body is, nobody here can tell; it is billed at its most.
-Tokens Passages::usedWhole(const Passage& passage) const
+Tokens ProxyRequests::usedWhole(const ProxyRequest& passage) const
 {
     return passage.route->answer == fleet::AnswerKind::Whole ? passage.cost : used(passage);
 }
 
-Tokens Passages::settle(Passage& passage, Tokens actual)
+Tokens ProxyRequests::settle(ProxyRequest& passage, Tokens actual)
 {
     if (!passage.reservation) {
         return {};
@@ -220,40 +220,40 @@
     return billed;
 }
 
-void Passages::end(Passage& passage)
+void ProxyRequests::end(ProxyRequest& passage)
 {
-    if (passage.phase == PassagePhase::WaitingForMoney && passage.cost > Tokens {}) {
+    if (passage.phase == ProxyPhase::WaitingForMoney && passage.cost > Tokens {}) {
         leaveMoneyLine(passage);
         ledgers_.of(passage.accountId()).withdraw(budgetOf(passage), keyOf(passage));
     }
     (void)remove(passage);
 }
 
-std::unique_ptr<Passage> Passages::remove(Passage& passage)
+std::unique_ptr<ProxyRequest> ProxyRequests::remove(ProxyRequest& passage)
 {
     if (passage.service != nullptr) {
         stateOf(passage).admission.queue().remove(passage.id);
     }
-    return std::move(passages_.extract(passage.id).mapped());
+    return std::move(proxyRequests_.extract(passage.id).mapped());
 }
 
-void Passages::expire()
+void ProxyRequests::expire()
 {
-    std::vector<std::pair<CallId, PassageRefusal>> over;
+    std::vector<std::pair<CallId, ProxyRefusal>> over;
     for (auto& [service, state] : services_) {
         for (const CallId id : state.admission.expire(context_.now())) {
             over.push_back({ id, { 503, "deadline_too_short", "waited as long as it could", defaultRetryAfter } });
         }
     }
-    for (const auto& [id, passage] : passages_) {
+    for (const auto& [id, passage] : proxyRequests_) {
         if (context_.now() < passage->deadline) {
             continue;
         }
-        const bool running = passage->phase == PassagePhase::Running || passage->runs > 0;
+        const bool running = passage->phase == ProxyPhase::Running || passage->runs > 0;
         over.push_back({ id, { running ? 504 : 503, "deadline_passed", "", std::nullopt } });
     }
     for (const auto& [id, why] : over) {
-        if (Passage* passage = find(id)) {
+        if (ProxyRequest* passage = find(id)) {
             giveUp(*passage, why);
         }
     }
--- a/src/node/QuarantineBook.cpp
+++ b/src/node/QuarantineCoordinator.cpp
@@ -1,31 +1,31 @@
-#include "node/QuarantineBook.h"
+#include "node/QuarantineCoordinator.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace swiftlift::node {
 
+using quarantine::BackendInstance;
 using quarantine::Fingerprint;
 using quarantine::Report;
 using quarantine::ReportId;
-using quarantine::ServerLife;
 
-const StreamName& QuarantineBook::stream()
+const StreamName& QuarantineCoordinator::stream()
 {
     static const StreamName name { "crash-reports" };
     return name;
 }
 
-QuarantineBook::QuarantineBook(Context& context, Peers& peers)
+QuarantineCoordinator::QuarantineCoordinator(Context& context, Peers& peers)
     : context_(context)
     , peers_(peers)
     , outbox_(context.self())
 {
 }
 
-void QuarantineBook::start() { context_.emit(Follow { stream(), {}, StreamKind::Keyed, readPause }); }
+void QuarantineCoordinator::start() { context_.emit(Follow { stream(), {}, StreamKind::Keyed, readPause }); }
 
-void QuarantineBook::onRecords(const KeyedRecords& records)
+void QuarantineCoordinator::onRecords(const KeyedRecords& records)
 {
     known_ = known_ || records.whole;
     for (const KeyedRecord& record : records.records) {
@@ -33,7 +33,7 @@
     }
 }
 
-void QuarantineBook::takeRecord(const KeyedRecord& record)
+void QuarantineCoordinator::takeRecord(const KeyedRecord& record)
 {
     const auto id = quarantine::idOf(record.key);
     if (!id) {
@@ -55,7 +55,7 @@
     }
 }
 
-void QuarantineBook::onPeerRecords(const Records& records)
+void QuarantineCoordinator::onPeerRecords(const Records& records)
 {
     for (const std::string& record : records.records) {
         const auto report = quarantine::decode(record);
@@ -66,34 +66,35 @@
     }
 }
 
-void QuarantineBook::take(const Report& report, const char* source)
+void QuarantineCoordinator::take(const Report& report, const char* source)
 {
     if (!quarantine_.knows(report.id)) {
-        logReport(report.id, report.lostWith ? "lost" : "answered", report.requests.size(), source);
+        logReport(report.id, report.failedInstance ? "lost" : "answered", report.requests.size(), source);
     }
     quarantine_.onReport(report, context_.now());
-    if (!report.lostWith || report.id.reporter == context_.self()) {
+    if (!report.failedInstance || report.id.reporter == context_.self()) {
         return;
     }
     for (const Fingerprint& request : report.requests) {
-        if (quarantine_.answeredLately(request, context_.now())) {
+        if (quarantine_.answeredRecently(request, context_.now())) {
             acquit(request);
         }
     }
 }
 
-void QuarantineBook::onLost(const Fingerprint& request, const ServerLife& life, const std::string& named)
+void QuarantineCoordinator::onRequestLost(
+    const Fingerprint& request, const BackendInstance& instance, const std::string& named)
 {
-    quarantine_.onReport(outbox_.onLost(request, life, context_.now()), context_.now());
-    context_.log(Line("suspect")
+    quarantine_.onReport(outbox_.onRequestLost(request, instance, context_.now()), context_.now());
+    context_.log(LogLineBuilder("suspect")
                      .with("request", named)
                      .with("content", toHex(request.content))
                      .with("account", request.account.value())
-                     .with("backend", life.server.value())
+                     .with("backend", instance.server.value())
                      .with("servers_ended", static_cast<std::int64_t>(quarantine_.serversEnded(request))));
 }
 
-void QuarantineBook::onAnswered(const Fingerprint& request)
+void QuarantineCoordinator::onAnswered(const Fingerprint& request)
 {
     const bool told = quarantine_.serversEnded(request) >= worthAcquitting;
     quarantine_.onAnswered(request, context_.now());
@@ -102,27 +103,30 @@
     }
 }
 
-void QuarantineBook::acquit(const Fingerprint& request)
+void QuarantineCoordinator::acquit(const Fingerprint& request)
 {
     quarantine_.onReport(outbox_.onAnswered(request, context_.now()), context_.now());
 }
 
-void QuarantineBook::onServerAnswered(const ServerLife& life, Instant sentAt)
+void QuarantineCoordinator::onServerAnswered(const BackendInstance& instance, Instant sentAt)
 {
-    withdraw(outbox_.onAlive(life, sentAt, fastestRestart), life);
+    withdraw(outbox_.onInstanceAlive(instance, sentAt, fastestRestart), instance);
 }
 
-void QuarantineBook::onServerSeen(const ServerLife& life, Instant at) { withdraw(outbox_.onAlive(life, at), life); }
+void QuarantineCoordinator::onServerSeen(const BackendInstance& instance, Instant at)
+{
+    withdraw(outbox_.onInstanceAlive(instance, at), instance);
+}
 
-void QuarantineBook::withdraw(const std::vector<ReportId>& wrong, const ServerLife& life)
+void QuarantineCoordinator::withdraw(const std::vector<ReportId>& wrong, const BackendInstance& instance)
 {
     for (const ReportId& id : wrong) {
-        logReport(id, "wrong", 0, "still runs: " + life.server.value());
+        logReport(id, "wrong", 0, "still runs: " + instance.server.value());
         quarantine_.onWithdrawn(id);
     }
 }
 
-void QuarantineBook::tick()
+void QuarantineCoordinator::tick()
 {
     const auto routers = static_cast<Duration::rep>(peers_.membership().counts().alive) + 1;
     if (const auto order = outbox_.due(writeSpacingPerRouter * routers, context_.now())) {
@@ -134,9 +138,9 @@
     }
 }
 
-void QuarantineBook::onLogAnswer() noexcept { unansweredWrites_ = std::max(unansweredWrites_ - 1, 0); }
+void QuarantineCoordinator::onLogAnswer() noexcept { unansweredWrites_ = std::max(unansweredWrites_ - 1, 0); }
 
-void QuarantineBook::write(const quarantine::ReportOrder& order)
+void QuarantineCoordinator::write(const quarantine::ReportOrder& order)
 {
     if (unansweredWrites_ < mostUnansweredWrites) {
         ++unansweredWrites_;
@@ -148,14 +152,14 @@
     }
 }
 
-void QuarantineBook::tellPeers(const Report& report)
+void QuarantineCoordinator::tellPeers(const Report& report)
 {
     for (const Incarnation peer : peers_.membership().alivePeers()) {
         peers_.send(peer, Records { stream(), Offset {}, { quarantine::encode(report) } });
     }
 }
 
-void QuarantineBook::expire()
+void QuarantineCoordinator::expire()
 {
     for (const ReportId& id : quarantine_.expire(context_.now())) {
         const bool own = id.reporter == context_.self();
@@ -164,15 +168,16 @@
     context_.gauge("swiftlift_quarantine_suspects", static_cast<double>(quarantine_.suspects()));
 }
 
-Duration QuarantineBook::partOf(Duration spread, const ReportId& id) const
+Duration QuarantineCoordinator::partOf(Duration spread, const ReportId& id) const
 {
     const std::uint64_t mixed = context_.self().value() ^ id.reporter.value() ^ id.number;
     return Duration { static_cast<Duration::rep>(mixed % static_cast<std::uint64_t>(spread.count())) };
 }
 
-void QuarantineBook::logReport(const ReportId& id, const char* change, std::size_t requests, const std::string& detail)
+void QuarantineCoordinator::logReport(
+    const ReportId& id, const char* change, std::size_t requests, const std::string& detail)
 {
-    context_.log(Line("crash_report")
+    context_.log(LogLineBuilder("crash_report")
                      .with("change", change)
                      .with("report", quarantine::keyOf(id))
                      .with("requests", static_cast<std::int64_t>(requests))
--- a/src/node/QuarantineBook.h
+++ b/src/node/QuarantineCoordinator.h
@@ -19,9 +19,9 @@
  * Reports go from router to router, which takes milliseconds and works while the log is out of reach, and through a
  * keyed stream of the log, for routers that start anew or are cut off from their peers.
  */
-class QuarantineBook {
+class QuarantineCoordinator {
 public:
-    QuarantineBook(Context& context, Peers& peers);
+    QuarantineCoordinator(Context& context, Peers& peers);
 
     void start();
     void onRecords(const KeyedRecords& records);
@@ -32,17 +32,19 @@
     void tick();
 
     /** The request was lost with a backend server. @param named For logs: the caller's id of it. */
-    void onLost(const quarantine::Fingerprint& request, const quarantine::ServerLife& life, const std::string& named);
+    void onRequestLost(
+        const quarantine::Fingerprint& request, const quarantine::BackendInstance& instance, const std::string& named);
     void onAnswered(const quarantine::Fingerprint& request);
     /** The server answers what was sent to it at this moment. */
-    void onServerAnswered(const quarantine::ServerLife& life, Instant sentAt);
+    void onServerAnswered(const quarantine::BackendInstance& instance, Instant sentAt);
     /** @param at When this life of the server still ran. */
-    void onServerSeen(const quarantine::ServerLife& life, Instant at);
+    void onServerSeen(const quarantine::BackendInstance& instance, Instant at);
 
     /** @return Why the request must not be sent to any backend server; nothing: it may. */
-    [[nodiscard]] std::optional<quarantine::Confinement> confinement(const quarantine::Fingerprint& request) const
+    [[nodiscard]] std::optional<quarantine::QuarantineEntry> quarantineEntry(
+        const quarantine::Fingerprint& request) const
     {
-        return quarantine_.confinement(request);
+        return quarantine_.quarantineEntry(request);
     }
 
     /** @return True when the reports of before this router's start have been read. */
@@ -73,7 +75,7 @@
     void take(const quarantine::Report& report, const char* source);
     void acquit(const quarantine::Fingerprint& request);
     void write(const quarantine::ReportOrder& order);
-    void withdraw(const std::vector<quarantine::ReportId>& wrong, const quarantine::ServerLife& life);
+    void withdraw(const std::vector<quarantine::ReportId>& wrong, const quarantine::BackendInstance& instance);
     void tellPeers(const quarantine::Report& report);
     void expire();
     /** @return A part of the time that is this router's own for the report. */
--- a/src/node/CopyRoute.cpp
+++ b/src/node/ReplicaLink.cpp
@@ -1,22 +1,22 @@
-#include "node/CopyRoute.h"
+#include "node/ReplicaLink.h"
 
 #include <algorithm>
 
 namespace swiftlift::node {
 
-void CopyRoute::leadTo(std::optional<Incarnation> keeper)
+void ReplicaLink::setTarget(std::optional<Incarnation> replica)
 {
-    if (keeper == keeper_) {
+    if (replica == replica_) {
         return;
     }
-    *this = CopyRoute {};
-    keeper_ = keeper;
+    *this = ReplicaLink {};
+    replica_ = replica;
 }
 
-ledger::Batch CopyRoute::due(const ledger::Outbox& outbox, Duration period, Instant now)
+ledger::Batch ReplicaLink::due(const ledger::Outbox& outbox, Duration period, Instant now)
 {
     passOverPause(now);
-    if (!keeper_) {
+    if (!replica_) {
         return {};
     }
     silent_ = silent_ || overdue(now);
@@ -38,9 +38,9 @@
     return batch;
 }
 
-void CopyRoute::onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now)
+void ReplicaLink::onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now)
 {
-    if (from != keeper_ || sequence > last || sequence <= copied_) {
+    if (from != replica_ || sequence > last || sequence <= copied_) {
         return;
     }
     copied_ = sequence;
@@ -48,9 +48,9 @@
     owedSince_ = copied_ < sent_ ? std::optional(now) : std::nullopt;
 }
 
-bool CopyRoute::inTouch(Instant now) const noexcept { return keeper_ && !silent_ && !overdue(now); }
+bool ReplicaLink::inTouch(Instant now) const noexcept { return replica_ && !silent_ && !overdue(now); }
 
-bool CopyRoute::overdue(Instant now) const noexcept
+bool ReplicaLink::overdue(Instant now) const noexcept
 {
     const Instant counted = lastLook_ ? std::min(now, *lastLook_ + longestStep) : now;
     return owedSince_ && counted - *owedSince_ >= patience;
@@ -58,7 +58,7 @@
 
 // Whoever was paused itself takes a keeper that answered meanwhile for silent, and tells callers of bills that stand in
 // one failure domain alone.
-void CopyRoute::passOverPause(Instant now)
+void ReplicaLink::passOverPause(Instant now)
 {
     const Duration gap = lastLook_ ? now - *lastLook_ : Duration {};
     if (owedSince_ && gap > longestStep) {
--- a/src/node/CopyRoute.h
+++ b/src/node/ReplicaLink.h
@@ -16,10 +16,10 @@
  *
  * Which items are due is decided here; sending them is the caller's.
  */
-class CopyRoute {
+class ReplicaLink {
 public:
     /** @param keeper Who keeps the copies from now on; nothing: nobody. Another one gets all items anew. */
-    void leadTo(std::optional<Incarnation> keeper);
+    void setTarget(std::optional<Incarnation> replica);
 
     /**
      * @param period Least time between two messages with new items.
@@ -33,10 +33,10 @@
      */
     void onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now);
 
-    [[nodiscard]] std::optional<Incarnation> keeper() const noexcept { return keeper_; }
+    [[nodiscard]] std::optional<Incarnation> replica() const noexcept { return replica_; }
 
     /** @return True when the keeper has the item. */
-    [[nodiscard]] bool holds(std::uint64_t sequence) const noexcept { return keeper_ && sequence <= copied_; }
+    [[nodiscard]] bool holds(std::uint64_t sequence) const noexcept { return replica_ && sequence <= copied_; }
 
     /** @return True while a keeper answers in time, as far as is known. */
     [[nodiscard]] bool inTouch(Instant now) const noexcept;
@@ -54,7 +54,7 @@
     [[nodiscard]] bool overdue(Instant now) const noexcept;
     void passOverPause(Instant now);
 
-    std::optional<Incarnation> keeper_;
+    std::optional<Incarnation> replica_;
     /** The keeper has all items up to this sequence. */
     std::uint64_t copied_ = 0;
     std::uint64_t sent_ = 0;
