--- a/src/node/Requests.cpp
+++ b/src/node/Requests.cpp
@@ -33,11 +33,11 @@
     assert(selector_ != nullptr && "the settings' check lets only known policies through");
 }
 
-void Requests::refuseAtOnce(CallId id, const CallerRequest& request, const GivingUp& why)
+void Requests::refuseImmediately(CallId id, const CallerRequest& request, const GivingUp& why)
 {
     const bool firstAttempt = request.attempt <= 1 && table_.find(request.key) == nullptr && !inDoubt();
     const Outcome outcome = firstAttempt ? Outcome::NotRun : Outcome::Unknown;
-    context_.log(Line("refuse")
+    context_.log(LogLineBuilder("refuse")
                      .with("request", request.id.value())
                      .with("account", request.account.value())
                      .with("service", request.service.value())
@@ -65,7 +65,7 @@
         return;
     }
     if (inDoubt()) {
-        table_.doubt(facts.key);
+        table_.markHistoryUnknown(facts.key);
     }
     byKey_[facts.key] = id;
     Call& placed = *calls_.emplace(id, std::move(call)).first->second;
@@ -82,19 +82,19 @@
     const CallerRequest& request = call.request;
     const auto account = shards_(request.account).fold().account(request.account);
     if (!account || account->closed || account->keyHash != request.keyHash) {
-        refuseAtOnce(call.id, request, { 401, "bad_key", "no such open account, or another key", std::nullopt });
+        refuseImmediately(call.id, request, { 401, "bad_key", "no such open account, or another key", std::nullopt });
         return false;
     }
     call.service = services_.find(request.service);
     if (call.service == nullptr) {
-        refuseAtOnce(call.id, request, { 404, "unknown_service", "no such service", std::nullopt });
+        refuseImmediately(call.id, request, { 404, "unknown_service", "no such service", std::nullopt });
         return false;
     }
     const auto& uses = call.service->accounts;
     const auto use = std::find_if(
         uses.begin(), uses.end(), [&](const auto& candidate) { return candidate.account == request.account; });
     if (use == uses.end()) {
-        refuseAtOnce(call.id, request, { 404, "unknown_service", "not open to this account", std::nullopt });
+        refuseImmediately(call.id, request, { 404, "unknown_service", "not open to this account", std::nullopt });
         return false;
     }
     call.use = *use;
@@ -106,7 +106,7 @@
     const CallerRequest& request = call.request;
     const settings::Limits& limits = call.service->limits;
     if (request.body.size() > limits.maxBodyBytes) {
-        refuseAtOnce(call.id, request, { 413, "body_too_large", "over the service's limit", std::nullopt });
+        refuseImmediately(call.id, request, { 413, "body_too_large", "over the service's limit", std::nullopt });
         return false;
     }
     if (call.isModel()) {
@@ -114,7 +114,7 @@
         const bool answerFits
             = request.maxAnswerTokens > Tokens {} && request.maxAnswerTokens <= limits.maxAnswerTokens;
         if (!promptFits || !answerFits) {
-            refuseAtOnce(
+            refuseImmediately(
                 call.id, request, { 400, "bad_request", "prompt or max_tokens outside the limits", std::nullopt });
             return false;
         }
@@ -230,12 +230,12 @@
     // up, this router finds them in its buffers, refuses them, and says "not run" of what has run. One notices by a
     // refusal that comes after the answer. So it vouches for nothing that may have waited here during the pause.
     doubtUntil_ = context_.now() + pauseDoubt;
-    table_.doubtInProgress();
+    table_.markInProgressHistoryUnknown();
 }
 
 bool Requests::inDoubt() const { return doubtUntil_ && context_.now() < *doubtUntil_; }
 
-void Requests::callerGone(CallId id)
+void Requests::callerDisconnected(CallId id)
 {
     Call* call = find(id);
     if (call == nullptr) {
@@ -248,7 +248,7 @@
     const Tokens spent = spentSoFar(*call);
     cancelAttempt(*call);
     settle(*call, spent);
-    context_.log(Line("caller_gone")
+    context_.log(LogLineBuilder("caller_gone")
                      .with("request", call->request.id.value())
                      .with("account", call->request.account.value())
                      .with("billed", spent.value()));
@@ -256,7 +256,7 @@
     end(*call, outcome, "caller_gone", spent);
 }
 
-void Requests::onMoneyArrived(const BudgetRef& budget) { moneyArrived_.insert(budget); }
+void Requests::onTokensAvailable(const BudgetRef& budget) { moneyArrived_.insert(budget); }
 
 void Requests::finishEvent()
 {
--- a/src/node/Requests.h
+++ b/src/node/Requests.h
@@ -41,12 +41,12 @@
 
     void arrive(CallId id, CallerRequest request);
     /** Refuses without looking further: nothing of it is known here, and nothing was started. */
-    void refuseAtOnce(CallId id, const CallerRequest& request, const GivingUp& why);
-    void callerGone(CallId id);
+    void refuseImmediately(CallId id, const CallerRequest& request, const GivingUp& why);
+    void callerDisconnected(CallId id);
     void onProgress(const AttemptProgress& progress);
     void onAttemptEnded(const AttemptEnded& ended);
     void onClaimDecided(const RequestKey& key, Incarnation owner);
-    void onMoneyArrived(const BudgetRef& budget);
+    void onTokensAvailable(const BudgetRef& budget);
     /** This process has not run for a while. */
     void onSelfPaused();
     void tick();
@@ -92,7 +92,7 @@
     void pumpAll();
     [[nodiscard]] routing::SelectRequest selectRequest(const Call& call) const;
     [[nodiscard]] routing::WaitingCall waitingCall(const Call& call) const;
-    [[nodiscard]] bool admitted(Call& call, const routing::Admitted& verdict);
+    [[nodiscard]] bool admitted(Call& call, const routing::AdmissionDecision& verdict);
     void dispatch(Call& call, const routing::Choice& choice);
     void complete(Call& call, const AttemptEnded& ended);
     void answerSecured();
--- a/src/node/RequestsDispatch.cpp
+++ b/src/node/RequestsDispatch.cpp
@@ -60,7 +60,7 @@
     }
 }
 
-bool Requests::admitted(Call& call, const routing::Admitted& verdict)
+bool Requests::admitted(Call& call, const routing::AdmissionDecision& verdict)
 {
     const CallId id = call.id;
     for (const CallId displaced : verdict.displaced) {
@@ -68,8 +68,8 @@
             giveUp(*loser, { 429, "account_over_share", "gave way to accounts below their share", defaultRetryAfter });
         }
     }
-    if (verdict.verdict != routing::Verdict::Refuse) {
-        return verdict.verdict == routing::Verdict::Dispatch;
+    if (verdict.verdict != routing::AdmissionVerdict::Refuse) {
+        return verdict.verdict == routing::AdmissionVerdict::Dispatch;
     }
     const bool overShare = verdict.refusal == routing::AdmissionRefusal::AccountOverShare;
     if (Call* refused = find(id)) {
@@ -128,7 +128,7 @@
     byAttempt_[call.attempt] = call.id;
     backends_.onDispatched(
         choice.backend, call.attempt, { call.request.prefixHash, call.request.promptTokens }, context_.now());
-    Line line("route");
+    LogLineBuilder line("route");
     line.with("request", call.request.id.value())
         .with("account", call.request.account.value())
         .with("service", call.request.service.value())
@@ -205,7 +205,7 @@
 
 void Requests::tryElsewhere(Call& call, const AttemptEnded& ended)
 {
-    context_.log(Line("attempt_failed")
+    context_.log(LogLineBuilder("attempt_failed")
                      .with("request", call.request.id.value())
                      .with("backend", call.backend.value())
                      .with("not_started", ended.end != AttemptEnd::Broken)
--- a/src/node/RequestsEnd.cpp
+++ b/src/node/RequestsEnd.cpp
@@ -12,10 +12,10 @@
     call.billed = call.isModel() ? call.request.promptTokens + call.delivered : call.cost;
     if (call.reservation) {
         call.billedGrant = call.reservation->grant;
-        call.answersAlone = shards_(call.request.account).answersAlone(*call.reservation);
+        call.isHolderOnly = shards_(call.request.account).isHolderOnly(*call.reservation);
     }
     call.billSequence = settle(call, call.billed);
-    context_.log(Line("answered")
+    context_.log(LogLineBuilder("answered")
                      .with("request", call.request.id.value())
                      .with("account", call.request.account.value())
                      .with("backend", call.backend.value())
@@ -44,7 +44,7 @@
         Call& call = *find(id);
         const Duration waited = context_.now() - call.since;
         const BillState state
-            = shards_(call.request.account).billState(call.billSequence, call.billedGrant, call.answersAlone, waited);
+            = shards_(call.request.account).billState(call.billSequence, call.billedGrant, call.isHolderOnly, waited);
         if (state == BillState::Secured) {
             answer(call, true);
         } else if (state == BillState::Alone && waited >= billPatience) {
@@ -69,8 +69,8 @@
         return;
     }
     const ShardLedger& shard = shards_(call.request.account);
-    const BillKeepers keepers = shard.keepersOf(call.billSequence);
-    context_.log(Line("bill")
+    const BillReplicas keepers = shard.replicasOf(call.billSequence);
+    context_.log(LogLineBuilder("bill")
                      .with("request", call.request.id.value())
                      .with("account", call.request.account.value())
                      .with("stream", shard.stream().value())
@@ -89,7 +89,7 @@
     if (!secured) {
         // The bill is in this process alone: should it die before the log is back, the request stays unbilled. The
         // account can't overspend by it, since the grant stays held; the caller is not made to wait for the platform.
-        context_.log(Line("bill_unsecured").with("request", call.request.id.value()));
+        context_.log(LogLineBuilder("bill_unsecured").with("request", call.request.id.value()));
         context_.count("swiftlift_bills_unsecured_total");
     }
     // A retry of a request that was billed before, elsewhere or when its caller went away, costs what it cost then.
@@ -134,7 +134,7 @@
     // What goes wrong otherwise: the part that was streamed is billed, the caller asks again, and the ledger keeps that
     // first bill while the answer names the whole one. A request that the fleet gave up costs nothing.
     settle(call, Tokens {});
-    context_.log(Line("refuse")
+    context_.log(LogLineBuilder("refuse")
                      .with("request", call.request.id.value())
                      .with("account", call.request.account.value())
                      .with("service", call.request.service.value())
--- a/src/node/Services.cpp
+++ b/src/node/Services.cpp
@@ -42,7 +42,7 @@
     private:
         void write(const char* change, const ServiceName& service, Offset offset, const std::string& author)
         {
-            context_.log(Line("config")
+            context_.log(LogLineBuilder("config")
                              .with("change", change)
                              .with("service", service.value())
                              .with("offset", static_cast<std::int64_t>(offset.value()))
@@ -124,7 +124,7 @@
         peers_.send(from, Records { stream(), offset, {} });
         return;
     }
-    config::KeptRecords kept = fold_.recordsFrom(offset, peerAnswerBytes);
+    config::RetainedRecords kept = fold_.recordsFrom(offset, peerAnswerBytes);
     peers_.send(from, Records { stream(), kept.first, std::move(kept.records) });
 }
 
--- a/src/node/ShardLedger.cpp
+++ b/src/node/ShardLedger.cpp
@@ -20,9 +20,9 @@
         ledger::PolicySettings figures;
         figures.splitBetween = settings.splitWays;
         figures.watermarks = settings.watermarks;
-        figures.stockPercent = settings.stockPercent;
+        figures.preallocationPercent = settings.preallocationPercent;
         figures.witnessesClose = settings.answersWaitForBills();
-        auto policy = ledger::makePolicy(settings.moneyPolicy, figures);
+        auto policy = ledger::makePolicy(settings.holdingPolicy, figures);
         assert(policy != nullptr && "the settings' check lets only known policies through");
         return policy;
     }
@@ -55,7 +55,7 @@
     , witness_(context.self(), fold_)
     , copies_(fold_)
     , checkpoints_(context.settings().ledger.checkpointInterval, internal::checkpointSeed(context.settings(), stream_))
-    , checkpointTurns_(
+    , checkpointSchedule_(
           context.settings().ledger.checkpointInterval, internal::checkpointSeed(context.settings(), stream_))
     , random_(context.settings().seed)
 {
@@ -82,14 +82,14 @@
 
 bool ShardLedger::checkpointsApart() const noexcept
 {
-    return context_.settings().ledger.checkpoints == CheckpointPlace::Apart;
+    return context_.settings().ledger.checkpoints == CheckpointPlace::SeparateStream;
 }
 
 void ShardLedger::onAppendAnswered()
 {
     outbox_.onAnswered(context_.now());
     if (std::exchange(readBackDue_, false)) {
-        context_.emit(ReadSoon { stream_ });
+        context_.emit(ExpediteRead { stream_ });
     }
 }
 
@@ -103,18 +103,18 @@
     if (const bool before = std::exchange(logWasReachable_, reachable); reachable && !before) {
         outbox_.onReachable(now);
     }
-    ledger::Surroundings surroundings;
-    surroundings.logReachable = logInReach();
-    surroundings.stopping = stopping;
-    surroundings.caughtUp = caughtUp_;
+    ledger::HolderEnvironment environment;
+    environment.logReachable = logInReach();
+    environment.stopping = stopping;
+    environment.caughtUp = caughtUp_;
     // Routers that start together have heard few of the others yet, but the list of VMs is there.
     const auto listed = static_cast<std::uint32_t>(peers_.membership().counts().listed) + 1;
-    surroundings.routers = std::max(routers(), listed);
-    surroundings.witness = peers_.membership().witness();
-    surroundings.lenders = peers_.membership().lenders();
-    ledger::MoneyActions actions;
-    holder_.onTick(now, surroundings, actions);
-    carryOut(actions);
+    environment.routers = std::max(routers(), listed);
+    environment.witness = peers_.membership().witness();
+    environment.lenders = peers_.membership().lenders();
+    ledger::LedgerActions actions;
+    holder_.onTick(now, environment, actions);
+    execute(actions);
     appendCheckpointWhenDue();
     fundWhenDue();
     flush();
@@ -149,7 +149,7 @@
     if (!worthIt) {
         return;
     }
-    if (checkpointsApart() && checkpointTurns_.due(context_.now(), routers())) {
+    if (checkpointsApart() && checkpointSchedule_.due(context_.now(), routers())) {
         keepCheckpointApart();
     } else if (!checkpointsApart() && checkpoints_.due(context_.now())) {
         append(fold_.checkpoint());
@@ -167,7 +167,7 @@
 {
     const auto stagger = static_cast<std::uint64_t>(fundStagger.count() + 1);
     funding_[budget] = { total, context_.now() + Duration { static_cast<Duration::rep>(random_() % stagger) } };
-    holder_.stock(budget);
+    holder_.preallocate(budget);
 }
 
 void ShardLedger::fundWhenDue()
@@ -182,7 +182,7 @@
             continue;
         }
         funding.due = context_.now() + fundRepeat;
-        context_.log(Line("fund").with("budget", toText(budget)).with("total", funding.total.value()));
+        context_.log(LogLineBuilder("fund").with("budget", toText(budget)).with("total", funding.total.value()));
         append(ledger::Fund { budget, funding.total });
     }
 }
@@ -233,33 +233,33 @@
 std::variant<ledger::Reservation, ledger::Shortage> ShardLedger::reserve(
     const BudgetRef& budget, const RequestKey& key, Tokens amount)
 {
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     auto result = holder_.reserve(budget, key, amount, context_.now(), actions);
-    carryOut(actions);
+    execute(actions);
     sendBatch();
     return result;
 }
 
 std::uint64_t ShardLedger::settle(const ledger::Reservation& reservation, Tokens actual)
 {
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     holder_.settle(reservation, actual, actions);
-    carryOut(actions);
+    execute(actions);
     return outbox_.lastSequence();
 }
 
 void ShardLedger::release(const ledger::Reservation& reservation)
 {
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     holder_.release(reservation, actions);
-    carryOut(actions);
+    execute(actions);
 }
 
 void ShardLedger::append(ledger::Entry entry)
 {
     const bool bill = std::holds_alternative<ledger::Bill>(entry);
     const bool witnessed = peers_.membership().witness().has_value();
-    urgent_ = urgent_ || !bill || !witnessed || lacksDistantKeeper();
+    urgent_ = urgent_ || !bill || !witnessed || lacksRemoteReplica();
     outbox_.add(std::move(entry));
 }
 
--- a/src/node/ShardLedger.h
+++ b/src/node/ShardLedger.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "node/Context.h"
-#include "node/CopyRoute.h"
-#include "node/DistantCopies.h"
 #include "node/ItemCopies.h"
 #include "node/LogHealth.h"
 #include "node/Peers.h"
 #include "node/RecordCache.h"
+#include "node/RemoteReplicas.h"
+#include "node/ReplicaLink.h"
 #include "swiftlift/config/SnapshotSchedule.h"
-#include "swiftlift/ledger/CheckpointTurns.h"
+#include "swiftlift/ledger/CheckpointSchedule.h"
 #include "swiftlift/ledger/Fold.h"
 #include "swiftlift/ledger/Holder.h"
 #include "swiftlift/ledger/Outbox.h"
@@ -35,7 +35,7 @@
     LedgerListener& operator=(const LedgerListener&) = delete;
 
     virtual void onClaimDecided(const RequestKey& key, Incarnation owner) = 0;
-    virtual void onMoneyArrived(const BudgetRef& budget) = 0;
+    virtual void onTokensAvailable(const BudgetRef& budget) = 0;
     /** This incarnation is over: nothing new may be started. */
     virtual void onRetired(const std::string& reason) = 0;
 };
@@ -54,7 +54,7 @@
 };
 
 /** Who has a bill besides this process. */
-struct BillKeepers {
+struct BillReplicas {
     /** It is read back from the log. */
     bool landed = false;
     /** The peer of the own failure domain that has a copy; nothing: none. */
@@ -101,10 +101,10 @@
      * @return Whether a caller may be told of the bill that this item is.
      */
     [[nodiscard]] BillState billState(
-        std::uint64_t sequence, const GrantId& grantId, bool alone, Duration waited) const;
+        std::uint64_t sequence, const GrantId& grantId, bool holderOnly, Duration waited) const;
     /** @return Who has the item of that sequence, as far as is known here. */
-    [[nodiscard]] BillKeepers keepersOf(std::uint64_t sequence) const;
-    [[nodiscard]] bool answersAlone(const ledger::Reservation& reservation) const;
+    [[nodiscard]] BillReplicas replicasOf(std::uint64_t sequence) const;
+    [[nodiscard]] bool isHolderOnly(const ledger::Reservation& reservation) const;
     /** Sees to it that the budget holds so much in all, and that a share of it is held here. */
     void fund(const BudgetRef& budget, Tokens total);
     void setWeighting(const BudgetRef& budget, ledger::Weighting weighting);
@@ -155,16 +155,16 @@
     void onEffect(const ledger::Effect& effect);
     /** An item of our own was refused. */
     void noteRefused(const ledger::Refused& refused, const ledger::Batch& batch);
-    void carryOut(ledger::MoneyActions& actions);
+    void execute(ledger::LedgerActions& actions);
     [[nodiscard]] Duration batchPeriod() const;
     void readNewGrantsSoon(const RaiseCeilings& raise);
     void sendBatch();
     void sendCopies();
     void sendNearCopies();
-    void sendDistantCopies();
-    void noteDistantKeepers();
+    void sendRemoteCopies();
+    void noteRemoteReplicas();
     /** @return True while bills get no copy beyond the failure domain though there are VMs to give one to. */
-    [[nodiscard]] bool lacksDistantKeeper() const;
+    [[nodiscard]] bool lacksRemoteReplica() const;
     void onCopyItems(Incarnation from, const CopyItems& message);
     void onItemsCopied(Incarnation from, const ItemsCopied& message);
     [[nodiscard]] bool appendsFor(Incarnation author) const;
@@ -196,11 +196,11 @@
     /** Peers that were suspected: as their witness this router takes no more copies of theirs. */
     std::set<Incarnation> suspected_;
     /** To the witness, which may close our grants once it suspects us: it must know of a bill before a caller does. */
-    CopyRoute nearCopies_;
+    ReplicaLink nearCopies_;
     /** To peers beyond the failure domain, which outlive holder and witness when they die together. */
-    DistantCopies distantCopies_;
+    RemoteReplicas remoteReplicas_;
     /** Those that answered when that was last said. */
-    std::vector<Incarnation> reportedKeepers_;
+    std::vector<Incarnation> reportedReplicas_;
     /** Something waits in the outbox that a caller or another router waits for. */
     bool urgent_ = false;
     /** More than bills was appended last. It is read back as soon as the log has it: the next batch, with a draw in it
@@ -214,7 +214,7 @@
     std::set<GrantId> closing_;
     Instant nextRelay_ {};
     config::SnapshotSchedule checkpoints_;
-    ledger::CheckpointTurns checkpointTurns_;
+    ledger::CheckpointSchedule checkpointSchedule_;
     std::optional<Offset> seekFrom_;
     Instant nextReadAsk_ {};
     bool caughtUp_ = false;
--- a/src/node/ShardLedgerPeers.cpp
+++ b/src/node/ShardLedgerPeers.cpp
@@ -24,7 +24,7 @@
 
 void ShardLedger::onPeerMessage(Incarnation from, const PeerMessage& message)
 {
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     const Instant now = context_.now();
     std::visit(
         internal::Overloaded {
@@ -36,7 +36,8 @@
             [&](const CeilingsRefused& refused) { holder_.onCeilingsRefused(from, refused.grants, now, actions); },
             [&](const LoanAsk& ask) { holder_.onLoanAsk(from, ask.loan, ask.budget, ask.amount, now, actions); },
             [&](const LoanGiven& loan) {
-                holder_.onLoanGiven(from, loan.loan, loan.budget, loan.grant, loan.amount, now, actions, loan.alone);
+                holder_.onLoanGiven(
+                    from, loan.loan, loan.budget, loan.grant, loan.amount, now, actions, loan.holderOnly);
             },
             [&](const LoanDenied& denied) {
                 holder_.onLoanDenied(from, denied.loan, denied.budget, denied.free, now, actions);
@@ -48,7 +49,7 @@
             [](const auto&) {},
         },
         message);
-    carryOut(actions);
+    execute(actions);
 }
 
 // A witness answers only for grants that it has read. Read in its own time, the grant would stay unspendable at its
@@ -58,26 +59,26 @@
     const bool unread
         = std::ranges::any_of(raise.ceilings, [this](const ledger::Ceiling& one) { return !fold_.grant(one.grant); });
     if (unread) {
-        context_.emit(ReadSoon { stream_ });
+        context_.emit(ExpediteRead { stream_ });
     }
 }
 
 void ShardLedger::onSuspected(Incarnation peer)
 {
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     witness_.suspect(peer, actions);
-    carryOut(actions);
+    execute(actions);
     suspected_.insert(peer);
-    if (peer == nearCopies_.keeper()) {
-        nearCopies_.leadTo(std::nullopt);
+    if (peer == nearCopies_.replica()) {
+        nearCopies_.setTarget(std::nullopt);
     }
 }
 
 void ShardLedger::sendCopies()
 {
     sendNearCopies();
-    sendDistantCopies();
-    noteDistantKeepers();
+    sendRemoteCopies();
+    noteRemoteReplicas();
 }
 
 void ShardLedger::sendNearCopies()
@@ -86,45 +87,45 @@
     if (!witness) {
         return;
     }
-    nearCopies_.leadTo(witness);
+    nearCopies_.setTarget(witness);
     const ledger::Batch batch = nearCopies_.due(outbox_, context_.settings().ledger.copyPeriod, context_.now());
     if (!batch.items.empty()) {
         sendToShard(*witness, CopyItems { stream_, ledger::encode(batch), false });
     }
 }
 
-void ShardLedger::sendDistantCopies()
+void ShardLedger::sendRemoteCopies()
 {
     const auto& membership = peers_.membership();
-    distantCopies_.leadTo(membership.distantKeeper(), membership.secondKeeper());
-    for (const auto& [keeper, batch] :
-        distantCopies_.due(outbox_, context_.settings().ledger.copyPeriod, context_.now())) {
-        sendToShard(keeper, CopyItems { stream_, ledger::encode(batch), true });
+    remoteReplicas_.setTarget(membership.remoteReplica(), membership.secondRemoteReplica());
+    for (const auto& [replica, batch] :
+        remoteReplicas_.due(outbox_, context_.settings().ledger.copyPeriod, context_.now())) {
+        sendToShard(replica, CopyItems { stream_, ledger::encode(batch), true });
     }
 }
 
 // While none answers, a bill is safe only once the log has it, and where the log is out of reach too, callers are told
 // of bills that would be lost with this failure domain.
-void ShardLedger::noteDistantKeepers()
+void ShardLedger::noteRemoteReplicas()
 {
-    std::vector<Incarnation> answering = distantCopies_.inTouch(context_.now());
-    if (answering == reportedKeepers_) {
+    std::vector<Incarnation> answering = remoteReplicas_.inTouch(context_.now());
+    if (answering == reportedReplicas_) {
         return;
     }
     // Bills that waited for company with a copy in view.
-    urgent_ = urgent_ || (lacksDistantKeeper() && !outbox_.empty());
-    context_.log(Line("copies")
+    urgent_ = urgent_ || (lacksRemoteReplica() && !outbox_.empty());
+    context_.log(LogLineBuilder("copies")
                      .with("stream", stream_.value())
                      .with("keepers", toHex(answering))
                      .with("answers", !answering.empty())
                      .with("log_in_reach", health_.reachable(context_.now())));
-    reportedKeepers_ = std::move(answering);
+    reportedReplicas_ = std::move(answering);
 }
 
-bool ShardLedger::lacksDistantKeeper() const
+bool ShardLedger::lacksRemoteReplica() const
 {
-    return context_.settings().answersWaitForBills() && peers_.membership().knowsDistantVms()
-        && distantCopies_.inTouch(context_.now()).empty();
+    return context_.settings().answersWaitForBills() && peers_.membership().knowsRemoteVms()
+        && remoteReplicas_.inTouch(context_.now()).empty();
 }
 
 void ShardLedger::onCopyItems(Incarnation from, const CopyItems& message)
@@ -148,7 +149,7 @@
 void ShardLedger::onItemsCopied(Incarnation from, const ItemsCopied& message)
 {
     nearCopies_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
-    distantCopies_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
+    remoteReplicas_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
 }
 
 // The fold takes each item once, so an append in another's name does no harm and needs no suspicion: the sooner it is
@@ -171,7 +172,7 @@
         if (batch.items.empty()) {
             continue;
         }
-        context_.log(Line("ledger")
+        context_.log(LogLineBuilder("ledger")
                          .with("change", "appended_for_peer")
                          .with("stream", stream_.value())
                          .with("peer", toHex(author.value()))
@@ -200,12 +201,12 @@
         // What goes wrong without this: a dead holder never closes its grants, and what it had not spent of its
         // ceilings stays out of reach for good. One notices by refusals while a budget has money. It is safe because a
         // holder tells no caller of a bill that neither has landed nor is copied here, and every copy has landed.
-        context_.log(Line("seal").with("grant", toText(grant)).with("state", "closing"));
+        context_.log(LogLineBuilder("seal").with("grant", toText(grant)).with("state", "closing"));
         append(ledger::CloseGrant { grant });
     }
 }
 
-BillState ShardLedger::billState(std::uint64_t sequence, const GrantId& grantId, bool alone, Duration waited) const
+BillState ShardLedger::billState(std::uint64_t sequence, const GrantId& grantId, bool holderOnly, Duration waited) const
 {
     if (refused_.contains(sequence)) {
         return BillState::Refused;
@@ -215,9 +216,9 @@
     }
     const auto grant = fold_.grant(grantId);
     const Incarnation witness = grant ? grant->witness : Incarnation {};
-    const bool byWitness = nearCopies_.holds(sequence) && (alone || (grant && witness == nearCopies_.keeper()));
-    const bool withoutWitness = alone && !peers_.membership().witness();
-    const bool beyondDomain = distantCopies_.secures(sequence, context_.now());
+    const bool byWitness = nearCopies_.holds(sequence) && (holderOnly || (grant && witness == nearCopies_.replica()));
+    const bool withoutWitness = holderOnly && !peers_.membership().witness();
+    const bool beyondDomain = remoteReplicas_.secures(sequence, context_.now());
     if ((byWitness || withoutWitness) && beyondDomain) {
         return BillState::Secured;
     }
@@ -225,30 +226,30 @@
     // witness with it, and nobody is left to bill it. One notices by an answer without a bill. While no keeper there
     // answers, the log does as well. Only where neither is reached the witness's copy has to do: callers would wait for
     // a partition to heal.
-    const bool landsSoon = lacksDistantKeeper() && health_.reachable(context_.now()) && waited < landingPatience;
+    const bool landsSoon = lacksRemoteReplica() && health_.reachable(context_.now()) && waited < landingPatience;
     if (landsSoon) {
         return BillState::Pending;
     }
-    if (byWitness && distantCopies_.inTouch(context_.now()).empty()) {
+    if (byWitness && remoteReplicas_.inTouch(context_.now()).empty()) {
         return BillState::Secured;
     }
-    return alone ? BillState::Alone : BillState::Pending;
+    return holderOnly ? BillState::Alone : BillState::Pending;
 }
 
-BillKeepers ShardLedger::keepersOf(std::uint64_t sequence) const
+BillReplicas ShardLedger::replicasOf(std::uint64_t sequence) const
 {
-    BillKeepers keepers;
+    BillReplicas keepers;
     keepers.landed = sequence <= fold_.lastSequence(context_.self());
-    keepers.near = nearCopies_.holds(sequence) ? nearCopies_.keeper() : std::nullopt;
-    keepers.distant = distantCopies_.keepersOf(sequence);
+    keepers.near = nearCopies_.holds(sequence) ? nearCopies_.replica() : std::nullopt;
+    keepers.distant = remoteReplicas_.replicasOf(sequence);
     return keepers;
 }
 
-bool ShardLedger::answersAlone(const ledger::Reservation& reservation) const
+bool ShardLedger::isHolderOnly(const ledger::Reservation& reservation) const
 {
     const auto grant = fold_.grant(reservation.grant);
     const bool ownWitness = grant && grant->witness == context_.self();
-    return ownWitness || holder_.answersAlone(reservation);
+    return ownWitness || holder_.isHolderOnly(reservation);
 }
 
 void ShardLedger::askPeer()
@@ -276,7 +277,7 @@
 
 void ShardLedger::sendToShard(Incarnation to, PeerMessage message) { peers_.send(to, std::move(message), shard_); }
 
-void ShardLedger::carryOut(ledger::MoneyActions& actions)
+void ShardLedger::execute(ledger::LedgerActions& actions)
 {
     // Handling one action may append more, so each is taken by index.
     for (std::size_t index = 0; index < actions.size(); ++index) {
@@ -292,12 +293,12 @@
                     sendToShard(action.to, LoanAsk { action.loan, action.budget, action.amount });
                 },
                 [this](ledger::SendLoanGiven& action) {
-                    context_.log(Line("loan")
+                    context_.log(LogLineBuilder("loan")
                                      .with("budget", toText(action.budget))
                                      .with("to", toHex(action.to.value()))
                                      .with("tokens", action.amount.value()));
-                    sendToShard(
-                        action.to, LoanGiven { action.loan, action.budget, action.grant, action.amount, action.alone });
+                    sendToShard(action.to,
+                        LoanGiven { action.loan, action.budget, action.grant, action.amount, action.holderOnly });
                 },
                 [this](ledger::SendLoanDenied& action) {
                     sendToShard(action.to, LoanDenied { action.loan, action.budget, action.free });
@@ -306,7 +307,7 @@
                     sendToShard(action.to, LoanDone { action.loan, action.billed });
                 },
                 [this](ledger::SendLoanDoneAcked& action) { sendToShard(action.to, LoanDoneAcked { action.loan }); },
-                [this](ledger::MoneyArrived& action) { listener_.onMoneyArrived(action.budget); },
+                [this](ledger::TokensAvailable& action) { listener_.onTokensAvailable(action.budget); },
                 [this](ledger::Retired& action) { listener_.onRetired(action.reason); },
             },
             actions[index]);
--- a/src/node/ShardLedgerReading.cpp
+++ b/src/node/ShardLedgerReading.cpp
@@ -12,7 +12,7 @@
     std::string reason;
     const auto batch = record == nullptr ? std::nullopt : ledger::decodeBatch(*record, reason);
     if (record != nullptr && !batch) {
-        context_.log(Line("ledger").with("change", "bad_checkpoint").with("reason", reason));
+        context_.log(LogLineBuilder("ledger").with("change", "bad_checkpoint").with("reason", reason));
     }
     for (const auto& item : batch.value_or(ledger::Batch {}).items) {
         const auto* checkpoint = std::get_if<ledger::Checkpoint>(&item.entry);
@@ -61,7 +61,7 @@
     }
     cache_.add(offset, record);
     if (!batch) {
-        context_.log(Line("ledger").with("change", "unreadable").with("reason", reason));
+        context_.log(LogLineBuilder("ledger").with("change", "unreadable").with("reason", reason));
         return;
     }
     for (const auto& item : batch->items) {
@@ -87,7 +87,7 @@
     });
     const bool found = item != batch.items.end();
     const auto grant = found ? ledger::grantOf(item->entry) : std::nullopt;
-    context_.log(Line("ledger")
+    context_.log(LogLineBuilder("ledger")
                      .with("change", "refused")
                      .with("entry", found ? ledger::kindOf(item->entry) : "")
                      .with("grant", grant ? toText(*grant) : "")
@@ -110,7 +110,7 @@
         holeReported_ = true;
         listener_.onRetired("records expired before they were read");
     }
-    context_.log(Line("ledger")
+    context_.log(LogLineBuilder("ledger")
                      .with("change", "expired")
                      .with("stream", stream_.value())
                      .with("oldest", static_cast<std::int64_t>(oldest.value())));
@@ -142,11 +142,11 @@
 void ShardLedger::restoreFrom(const ledger::Checkpoint& checkpoint, const char* source)
 {
     if (!fold_.restore(checkpoint)) {
-        context_.log(Line("ledger").with("change", "bad_checkpoint").with("reason", fold_.lastReason()));
+        context_.log(LogLineBuilder("ledger").with("change", "bad_checkpoint").with("reason", fold_.lastReason()));
         return;
     }
     seekFrom_.reset();
-    context_.log(Line("ledger")
+    context_.log(LogLineBuilder("ledger")
                      .with("change", "restored")
                      .with("stream", stream_.value())
                      .with("source", source)
@@ -179,11 +179,11 @@
     if (const auto* draw = std::get_if<ledger::DrawDecided>(&effect)) {
         if (draw->grant.holder == context_.self()) {
             const ledger::BudgetView budgetNow = fold_.budget(draw->budget).value_or(ledger::BudgetView {});
-            context_.log(Line("grant")
+            context_.log(LogLineBuilder("grant")
                              .with("budget", toText(draw->budget))
                              .with("grant", toText(draw->grant))
                              .with("admitted", draw->admitted.value())
-                             .with("short_by", draw->shortBy.value())
+                             .with("short_by", draw->shortfall.value())
                              .with("bought", budgetNow.bought.value())
                              .with("billed", budgetNow.billed.value())
                              .with("held", budgetNow.held.value())
@@ -192,15 +192,15 @@
     }
     if (const auto* changed = std::get_if<ledger::GrantChanged>(&effect);
         changed && changed->state == ledger::GrantState::Sealed) {
-        context_.log(Line("seal")
+        context_.log(LogLineBuilder("seal")
                          .with("grant", toText(changed->grant))
                          .with("state", ledger::toText(changed->state))
                          .with("witness", toHex(changed->witness.value())));
     }
-    ledger::MoneyActions actions;
+    ledger::LedgerActions actions;
     holder_.onEffect(effect, context_.now(), actions);
     witness_.onEffect(effect, actions);
-    carryOut(actions);
+    execute(actions);
 }
 
 } // namespace swiftlift::node
--- a/src/node/StateChanges.cpp
+++ b/src/node/StateChanges.cpp
@@ -14,7 +14,7 @@
     if (std::exchange(logReachable_, reachable) == reachable) {
         return;
     }
-    context_.log(Line("log")
+    context_.log(LogLineBuilder("log")
                      .with("change", reachable ? "reachable" : "unreachable")
                      .with("detail", reachable || !detail.empty() ? detail : "no answer for too long"));
 }
@@ -30,7 +30,7 @@
     if (isNew || before == view->state) {
         return;
     }
-    context_.log(Line("backend")
+    context_.log(LogLineBuilder("backend")
                      .with("backend", backend.value())
                      .with("domain", view->domain.value())
                      .with("change", toText(view->state))
--- a/src/placement/OrderLease.cpp
+++ b/src/placement/OrderLease.cpp
@@ -57,7 +57,7 @@
 
 void OrderLease::onClaim(Offset offset, const Claim& claim, Instant now)
 {
-    const std::optional<Tenure> before = fold_.tenure();
+    const std::optional<LeaseTerm> before = fold_.leaseTerm();
     if (!fold_.apply(offset, claim)) {
         return;
     }
@@ -72,10 +72,10 @@
             sent_.erase(sent_.begin(), std::next(found));
         }
     }
-    noteTenure(before);
+    noteLeaseTerm(before);
 }
 
-void OrderLease::noteTenure(const std::optional<Tenure>& before)
+void OrderLease::noteLeaseTerm(const std::optional<LeaseTerm>& before)
 {
     const bool same = before && before->fencing == fencing();
     if (!same) {
@@ -86,7 +86,7 @@
 
 void OrderLease::noteLapse(Instant now)
 {
-    const bool can = mayOrder(now);
+    const bool can = mayIssueOrders(now);
     if (can == couldOrder_) {
         return;
     }
@@ -96,8 +96,8 @@
 
 void OrderLease::change(LeaseChangeKind kind)
 {
-    const auto& tenure = fold_.tenure();
-    changes_.push_back({ kind, tenure ? tenure->holder : Incarnation {}, fencing() });
+    const auto& leaseTerm = fold_.leaseTerm();
+    changes_.push_back({ kind, leaseTerm ? leaseTerm->holder : Incarnation {}, fencing() });
 }
 
 void OrderLease::onCaughtUp(Instant now)
@@ -129,11 +129,11 @@
 
 bool OrderLease::own() const noexcept
 {
-    const auto& tenure = fold_.tenure();
-    return tenure && tenure->holder == self_ && tenure->fencing != endedFencing_;
+    const auto& leaseTerm = fold_.leaseTerm();
+    return leaseTerm && leaseTerm->holder == self_ && leaseTerm->fencing != endedFencing_;
 }
 
-bool OrderLease::mayOrder(Instant now) const noexcept
+bool OrderLease::mayIssueOrders(Instant now) const noexcept
 {
     const auto end = until();
     return end && now < *end;
@@ -170,7 +170,7 @@
 Instant OrderLease::freeAt() const noexcept
 {
     const Duration wait = settings_.leaseTime + settings_.grace;
-    if (fold_.tenure()) {
+    if (fold_.leaseTerm()) {
         return readAt_ + wait;
     }
     return fold_.unknown() ? *caughtUpAt_ + wait : *caughtUpAt_;
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -9,13 +9,13 @@
 Quarantine::Quarantine(QuarantineLimits limits)
     : limits_(limits)
 {
-    assert(limits_.mostServersEnded > 0 && "a request that may end no server could never be sent");
+    assert(limits_.maxServersEnded > 0 && "a request that may end no server could never be sent");
 }
 
 void Quarantine::onReport(const Report& report, Instant now)
 {
     const auto [known, added]
-        = reports_.try_emplace(report.id, KnownReport { { report.id, {}, report.lostWith }, now });
+        = reports_.try_emplace(report.id, KnownReport { { report.id, {}, report.failedInstance }, now });
     if (added) {
         order_.push_back(report.id);
     }
@@ -25,27 +25,27 @@
             continue;
         }
         requests.push_back(request);
-        if (report.lostWith) {
+        if (report.failedInstance) {
             accuse(request, report, now);
         } else {
             acquit(request);
         }
     }
-    if (reports_.size() > limits_.mostReports) {
+    if (reports_.size() > limits_.maxReports) {
         forgetOneReport();
     }
 }
 
 void Quarantine::accuse(const Fingerprint& request, const Report& report, Instant now)
 {
-    if (answeredLately(request, now)) {
+    if (answeredRecently(request, now)) {
         return;
     }
-    if (!suspects_.contains(request) && suspects_.size() >= limits_.mostSuspects) {
+    if (!suspects_.contains(request) && suspects_.size() >= limits_.maxSuspects) {
         forgetOneSuspect();
     }
     Suspect& suspect = suspects_[request];
-    Ended& ended = suspect.ended[*report.lostWith];
+    Ended& ended = suspect.ended[*report.failedInstance];
     ended.reports.insert(report.id);
     ended.lastReport = now;
     suspect.lastReport = now;
@@ -89,10 +89,10 @@
     const Report& report = known->second.report;
     for (const Fingerprint& request : report.requests) {
         const auto suspect = suspects_.find(request);
-        if (suspect == suspects_.end() || !report.lostWith) {
+        if (suspect == suspects_.end() || !report.failedInstance) {
             continue;
         }
-        const auto ended = suspect->second.ended.find(*report.lostWith);
+        const auto ended = suspect->second.ended.find(*report.failedInstance);
         if (ended != suspect->second.ended.end() && ended->second.reports.erase(id) > 0
             && ended->second.reports.empty()) {
             suspect->second.ended.erase(ended);
@@ -108,7 +108,7 @@
 {
     answered_[request] = now;
     answeredOrder_.emplace_back(now, request);
-    while (answeredOrder_.size() > limits_.mostAnswered) {
+    while (answeredOrder_.size() > limits_.maxAnswered) {
         const auto& [at, oldest] = answeredOrder_.front();
         if (const auto known = answered_.find(oldest); known != answered_.end() && known->second == at) {
             answered_.erase(known);
@@ -118,7 +118,7 @@
     acquit(request);
 }
 
-bool Quarantine::answeredLately(const Fingerprint& request, Instant now) const
+bool Quarantine::answeredRecently(const Fingerprint& request, Instant now) const
 {
     const auto answered = answered_.find(request);
     return answered != answered_.end() && now - answered->second < limits_.answerLifetime;
@@ -130,20 +130,20 @@
     return suspect == suspects_.end() ? 0 : suspect->second.ended.size();
 }
 
-std::optional<Confinement> Quarantine::confinement(const Fingerprint& request) const
+std::optional<QuarantineEntry> Quarantine::quarantineEntry(const Fingerprint& request) const
 {
     const auto suspect = suspects_.find(request);
-    if (suspect == suspects_.end() || suspect->second.ended.size() < limits_.mostServersEnded) {
+    if (suspect == suspects_.end() || suspect->second.ended.size() < limits_.maxServersEnded) {
         return std::nullopt;
     }
     std::vector<Instant> reported;
-    for (const auto& [life, ended] : suspect->second.ended) {
+    for (const auto& [instance, ended] : suspect->second.ended) {
         reported.push_back(ended.lastReport);
     }
     // It may be sent again once so many reports have become too old that fewer than the limit are left.
-    const auto decisive = reported.end() - static_cast<std::ptrdiff_t>(limits_.mostServersEnded);
+    const auto decisive = reported.end() - static_cast<std::ptrdiff_t>(limits_.maxServersEnded);
     std::ranges::nth_element(reported, decisive);
-    return Confinement { reported.size(), *decisive + limits_.lifetime };
+    return QuarantineEntry { reported.size(), *decisive + limits_.lifetime };
 }
 
 std::vector<ReportId> Quarantine::expire(Instant now)
--- a/src/quarantine/Report.cpp
+++ b/src/quarantine/Report.cpp
@@ -46,9 +46,9 @@
         request.set_content_high(content.high);
         request.set_content_low(content.low);
     }
-    if (report.lostWith) {
-        record.mutable_lost()->set_backend(report.lostWith->server.value());
-        record.mutable_lost()->set_started_at(report.lostWith->startedAt);
+    if (report.failedInstance) {
+        record.mutable_lost()->set_backend(report.failedInstance->server.value());
+        record.mutable_lost()->set_started_at(report.failedInstance->startedAt);
     }
     return record.SerializeAsString();
 }
@@ -64,7 +64,7 @@
         report.requests.push_back({ AccountId(request.account()), { request.content_high(), request.content_low() } });
     }
     if (read.has_lost()) {
-        report.lostWith = ServerLife { BackendId(read.lost().backend()), read.lost().started_at() };
+        report.failedInstance = BackendInstance { BackendId(read.lost().backend()), read.lost().started_at() };
     }
     return report;
 }
--- a/src/quarantine/ReportOutbox.cpp
+++ b/src/quarantine/ReportOutbox.cpp
@@ -12,17 +12,17 @@
 
 ReportId ReportOutbox::nextId() { return { self_, ++lastNumber_ }; }
 
-Report ReportOutbox::onLost(const Fingerprint& request, const ServerLife& life, Instant now)
+Report ReportOutbox::onRequestLost(const Fingerprint& request, const BackendInstance& instance, Instant now)
 {
-    auto gathering = gathering_.find(life);
+    auto gathering = gathering_.find(instance);
     if (gathering != gathering_.end() && gathering->second.report.requests.size() >= mostRequestsPerReport) {
         close(gathering->second.report, now);
         gathering_.erase(gathering);
         gathering = gathering_.end();
     }
     if (gathering == gathering_.end()) {
-        gathering = gathering_.emplace(life, Gathering { { nextId(), {}, life }, now }).first;
-        doubtful_.push_back({ gathering->second.report.id, life, now });
+        gathering = gathering_.emplace(instance, Gathering { { nextId(), {}, instance }, now }).first;
+        doubtful_.push_back({ gathering->second.report.id, instance, now });
     }
     gathering->second.report.requests.push_back(request);
     return gathering->second.report;
@@ -35,16 +35,16 @@
     return report;
 }
 
-std::vector<ReportId> ReportOutbox::onAlive(const ServerLife& life, Instant at, Duration longest)
+std::vector<ReportId> ReportOutbox::onInstanceAlive(const BackendInstance& instance, Instant at, Duration longest)
 {
     std::vector<ReportId> wrong;
     for (auto doubt = doubtful_.begin(); doubt != doubtful_.end();) {
-        if (doubt->life != life || doubt->lostAt >= at || at - doubt->lostAt > longest) {
+        if (doubt->instance != instance || doubt->lostAt >= at || at - doubt->lostAt > longest) {
             ++doubt;
             continue;
         }
         wrong.push_back(doubt->id);
-        const auto gathering = gathering_.find(life);
+        const auto gathering = gathering_.find(instance);
         if (gathering != gathering_.end() && gathering->second.report.id == doubt->id) {
             gathering_.erase(gathering);
         } else {
--- a/src/request/RequestTable.cpp
+++ b/src/request/RequestTable.cpp
@@ -49,14 +49,14 @@
     return Arrival::Proceed;
 }
 
-void RequestTable::doubtInProgress()
+void RequestTable::markInProgressHistoryUnknown()
 {
     for (auto& [key, record] : records_) {
         record.wholeHistoryKnown = record.wholeHistoryKnown && record.ended;
     }
 }
 
-void RequestTable::doubt(const RequestKey& key)
+void RequestTable::markHistoryUnknown(const RequestKey& key)
 {
     if (auto found = records_.find(key); found != records_.end()) {
         found->second.wholeHistoryKnown = false;
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -36,9 +36,9 @@
 {
 }
 
-Admitted Admission::admit(const WaitingCall& call, std::optional<Duration> firstToken, Instant now)
+AdmissionDecision Admission::admit(const WaitingCall& call, std::optional<Duration> firstToken, Instant now)
 {
-    Admitted admitted;
+    AdmissionDecision admitted;
     // A request that went straight on while others wait would pass them, whatever their accounts' shares.
     const bool waits = !firstToken || queue_.size() > 0;
     const Duration wait = waits ? predictedWait(call, now) : Duration {};
@@ -51,7 +51,7 @@
         return admitted;
     }
     if (!waits) {
-        admitted.verdict = Verdict::Dispatch;
+        admitted.verdict = AdmissionVerdict::Dispatch;
         return admitted;
     }
     PushResult pushed = queue_.push(call, now);
@@ -63,7 +63,7 @@
             + " waiting are this account's";
         return admitted;
     }
-    admitted.verdict = Verdict::Wait;
+    admitted.verdict = AdmissionVerdict::Wait;
     admitted.displaced = std::move(pushed.displaced);
     return admitted;
 }
--- a/src/routing/Backend.cpp
+++ b/src/routing/Backend.cpp
@@ -35,9 +35,9 @@
 void Backend::setEntry(const BackendEntry& entry, Instant now)
 {
     entry_.domain = entry.domain;
-    const bool newLife = entry.life > entry_.life && entry_.life != 0;
-    entry_.life = std::max(entry_.life, entry.life);
-    if (!newLife) {
+    const bool newInstance = entry.instance > entry_.instance && entry_.instance != 0;
+    entry_.instance = std::max(entry_.instance, entry.instance);
+    if (!newInstance) {
         return;
     }
     entry_.slots = entry.slots;
--- a/src/routing/Intake.cpp
+++ b/src/routing/LoadShedder.cpp
@@ -1,28 +1,28 @@
-#include "swiftlift/routing/Intake.h"
+#include "swiftlift/routing/LoadShedder.h"
 
 #include <algorithm>
 
 namespace swiftlift::routing {
 
-Intake::Intake(IntakeLimits limits)
+LoadShedder::LoadShedder(LoadShedderLimits limits)
     : limits_(limits)
 {
 }
 
-IntakeVerdict Intake::verdictOn(const IntakeLoad& load) const
+LoadShedVerdict LoadShedder::verdictOn(const ObservedLoad& load) const
 {
     if (load.callerLeft) {
-        return IntakeVerdict::Drop;
+        return LoadShedVerdict::Drop;
     }
-    const bool late = limits_.mostLag > Duration {} && load.lag > limits_.mostLag;
-    const bool deep = limits_.mostWaiting > 0 && load.waiting > limits_.mostWaiting;
-    return late || deep || linkBeyond(fullPercent) ? IntakeVerdict::Refuse : IntakeVerdict::TakeIn;
+    const bool late = limits_.maxLag > Duration {} && load.lag > limits_.maxLag;
+    const bool deep = limits_.maxWaiting > 0 && load.waiting > limits_.maxWaiting;
+    return late || deep || linkBeyond(fullPercent) ? LoadShedVerdict::Refuse : LoadShedVerdict::Accept;
 }
 
-IntakeVerdict Intake::onRequest(const IntakeLoad& load, Instant now)
+LoadShedVerdict LoadShedder::onRequest(const ObservedLoad& load, Instant now)
 {
-    const IntakeVerdict verdict = verdictOn(load);
-    const bool turnedAway = verdict != IntakeVerdict::TakeIn;
+    const LoadShedVerdict verdict = verdictOn(load);
+    const bool turnedAway = verdict != LoadShedVerdict::Accept;
     seen_.push_back({ now, turnedAway });
     turnedAway_ += turnedAway ? 1 : 0;
     forget(now);
@@ -32,7 +32,7 @@
     return verdict;
 }
 
-void Intake::onTraffic(const LinkTraffic& traffic, Instant now)
+void LoadShedder::onTraffic(const LinkTraffic& traffic, Instant now)
 {
     const Duration passed = now - windowBeganAt_;
     if (passed < linkWindow) {
@@ -48,19 +48,19 @@
     }
 }
 
-bool Intake::linkBeyond(std::uint64_t percent) const
+bool LoadShedder::linkBeyond(std::uint64_t percent) const
 {
     constexpr std::uint64_t whole = 100;
     return limits_.linkBytesPerSecond > 0 && linkBytesPerSecond_ * whole > limits_.linkBytesPerSecond * percent;
 }
 
-bool Intake::ready(Instant now)
+bool LoadShedder::ready(Instant now)
 {
     forget(now);
     return now >= pausedUntil_;
 }
 
-void Intake::forget(Instant now)
+void LoadShedder::forget(Instant now)
 {
     while (!seen_.empty() && now - seen_.front().at > window) {
         turnedAway_ -= seen_.front().turnedAway ? 1 : 0;
--- a/src/routing/RendezvousSelector.cpp
+++ b/src/routing/RendezvousSelector.cpp
@@ -71,12 +71,12 @@
     }
     if (ranked.second != nullptr && quicker(*ranked.second, *ranked.first)) {
         Choice choice = choiceOf(*ranked.second, "second home: the first has much to read");
-        choice.readsShared = true;
+        choice.prefillsSharedPart = true;
         return choice;
     }
     const bool isHome = ranked.first == ranked.home;
     Choice choice = choiceOf(*ranked.first, isHome ? "home of the prefix" : "next to the prefix's busy home");
-    choice.readsShared = !isHome;
+    choice.prefillsSharedPart = !isHome;
     return choice;
 }
 
--- a/src/routing/Selector.cpp
+++ b/src/routing/Selector.cpp
@@ -46,7 +46,7 @@
         return lastResort(sorted.heldBack);
     }
     if (sorted.own.empty() && sorted.full.empty() && sorted.others.empty()) {
-        sorted.others = std::move(sorted.doubtful);
+        sorted.others = std::move(sorted.unreachableDomains);
     }
     if (sorted.own.empty() && sorted.others.empty()) {
         explain(sorted, now);
@@ -100,8 +100,8 @@
             sorted.probes.push_back(std::move(view));
         } else if (full(request, view)) {
             sorted.full.push_back(std::move(view));
-        } else if (request.doubtful.contains(view.domain)) {
-            sorted.doubtful.push_back(std::move(view));
+        } else if (request.unreachableDomains.contains(view.domain)) {
+            sorted.unreachableDomains.push_back(std::move(view));
         } else if (view.domain == settings_.domain) {
             sorted.own.push_back(std::move(view));
         } else {
--- a/src/settings/Checker.h
+++ b/src/settings/Checker.h
@@ -155,11 +155,11 @@
  * @return The value; nothing when anything was found.
  */
 template <typename Read>
-[[nodiscard]] auto parseChecked(std::string_view text, const std::string& source, std::size_t mostBytes,
+[[nodiscard]] auto parseChecked(std::string_view text, const std::string& source, std::size_t maxBytes,
     Findings& findings, const Read& read) -> std::optional<decltype(read(std::declval<Checker&>()))>
 {
     const auto before = findings.size();
-    const auto tree = loadYaml(text, source, mostBytes, findings);
+    const auto tree = loadYaml(text, source, maxBytes, findings);
     if (!tree) {
         return std::nullopt;
     }
--- a/src/settings/RouterSettings.cpp
+++ b/src/settings/RouterSettings.cpp
@@ -103,7 +103,7 @@
         checker.unsignedNumber("split_ways", Need::Optional, splitRange, ledger.splitWays);
         checker.duration("low_watermark", Need::Optional, watermarkRange, ledger.lowWatermark);
         checker.duration("high_watermark", Need::Optional, watermarkRange, ledger.highWatermark);
-        checker.percent("stock", Need::Optional, wholePercent, ledger.stockPercent);
+        checker.percent("stock", Need::Optional, wholePercent, ledger.preallocationPercent);
         checker.duration("retention", Need::Optional, retentionRange, ledger.retention);
         checker.duration("batch_period", Need::Optional, batchRange, ledger.batchPeriod);
         checker.finish();
--- a/src/transport/Call.h
+++ b/src/transport/Call.h
@@ -33,7 +33,7 @@
     /** Writes the final word. */
     void finish(const node::Reply& reply);
 
-    void callerGone() noexcept { caller_.reset(); }
+    void callerDisconnected() noexcept { caller_.reset(); }
 
     /** @return Whether the caller takes its answer more slowly than it comes. */
     [[nodiscard]] bool callerIsSlow() const noexcept;
--- a/src/transport/CallTable.cpp
+++ b/src/transport/CallTable.cpp
@@ -158,15 +158,15 @@
     replyJson(connection, refusal.status, notAnsweredText(requestId, refusal), refusal.retryAfter);
 }
 
-void CallTable::callerGone(CallerConnection& connection)
+void CallTable::callerDisconnected(CallerConnection& connection)
 {
     const CallId id = *connection.call();
-    context_.events.push({ Incarnation {}, node::CallerGone { id } });
+    context_.events.push({ Incarnation {}, node::CallerDisconnected { id } });
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
         return;
     }
-    found->second->callerGone();
+    found->second->callerDisconnected();
     running_.resume(id);
     calls_.erase(found);
 }
@@ -207,12 +207,12 @@
             counts.cachedPromptTokens, std::move(detail) } });
 }
 
-void CallTable::carryOut(StreamCommand&& command)
+void CallTable::execute(StreamCommand&& command)
 {
-    std::visit([this](auto&& order) { carryOut(std::forward<decltype(order)>(order)); }, std::move(command));
+    std::visit([this](auto&& order) { execute(std::forward<decltype(order)>(order)); }, std::move(command));
 }
 
-void CallTable::carryOut(node::Dispatch&& dispatch)
+void CallTable::execute(node::Dispatch&& dispatch)
 {
     const auto found = calls_.find(dispatch.call);
     if (found == calls_.end() || running_.contains(dispatch.attempt)) {
@@ -264,9 +264,9 @@
     context_.events.push({ context_.incarnation, std::move(ended) });
 }
 
-void CallTable::carryOut(node::CancelAttempt&& cancel) { running_.cancel(cancel.attempt); }
+void CallTable::execute(node::CancelAttempt&& cancel) { running_.cancel(cancel.attempt); }
 
-void CallTable::carryOut(node::Reply&& reply)
+void CallTable::execute(node::Reply&& reply)
 {
     const auto found = calls_.find(reply.call);
     if (found == calls_.end()) {
@@ -278,7 +278,7 @@
     running_.resume(reply.call);
 }
 
-void CallTable::carryOut(node::OperatorReply&& reply)
+void CallTable::execute(node::OperatorReply&& reply)
 {
     const auto found = questions_.find(reply.question);
     if (found == questions_.end()) {
@@ -290,7 +290,7 @@
     questions_.erase(found);
 }
 
-void CallTable::carryOut(BeginIncarnation&& begin)
+void CallTable::execute(BeginIncarnation&& begin)
 {
     context_.incarnation = begin.incarnation;
     // The former core said that nothing is in progress; what runs nevertheless can't be told to anybody any more.
--- a/src/transport/CallTable.h
+++ b/src/transport/CallTable.h
@@ -24,7 +24,7 @@
 
     void accept(boost::asio::ip::tcp::socket socket) override;
     void acceptReadiness(boost::asio::ip::tcp::socket) override { }
-    void carryOut(StreamCommand&& command) override;
+    void execute(StreamCommand&& command) override;
     void sweep() override;
     void closeIdleConnections() override;
     void closeAll() override;
@@ -34,7 +34,7 @@
 
     void requestCame(CallerConnection& connection, CallerMessage&& request) override;
     void requestUnreadable(CallerConnection& connection, const UnreadableRequest& why) override;
-    void callerGone(CallerConnection& connection) override;
+    void callerDisconnected(CallerConnection& connection) override;
     void callerDrained(CallerConnection& connection) override;
     void connectionClosed(CallerConnection& connection) override;
     void answerPartCame(Attempt& attempt, std::string part) override;
@@ -55,13 +55,13 @@
     void callCame(CallerConnection& connection, node::CallerRequest&& request);
     void questionCame(CallerConnection& connection, const RequestQuestion& question);
     void refuse(CallerConnection& connection, const node::Reply& refusal, std::string_view requestId);
-    void carryOut(node::Dispatch&& dispatch);
-    void carryOut(node::CancelAttempt&& cancel);
-    void carryOut(node::Reply&& reply);
-    void carryOut(node::OperatorReply&& reply);
-    void carryOut(BeginIncarnation&& begin);
+    void execute(node::Dispatch&& dispatch);
+    void execute(node::CancelAttempt&& cancel);
+    void execute(node::Reply&& reply);
+    void execute(node::OperatorReply&& reply);
+    void execute(BeginIncarnation&& begin);
     /** What concerns requests that are passed on as they came is another table's. */
-    template <typename Other> void carryOut(Other&&) { }
+    template <typename Other> void execute(Other&&) { }
     [[nodiscard]] AttemptOrder orderOf(node::Dispatch&& dispatch, Call& call);
     void cannotStart(const node::Dispatch& dispatch);
     void reportProgress(Running& running, bool mustArrive);
--- a/src/transport/CallerConnection.cpp
+++ b/src/transport/CallerConnection.cpp
@@ -335,7 +335,7 @@
     }
     const auto self = shared_from_this();
     if (call_) {
-        host_.callerGone(*this);
+        host_.callerDisconnected(*this);
         call_.reset();
     }
     close();
--- a/src/transport/CallerConnection.h
+++ b/src/transport/CallerConnection.h
@@ -43,7 +43,7 @@
     /** A request can't be taken in; it has to be answered, and the connection closes after that. */
     virtual void requestUnreadable(CallerConnection& connection, const UnreadableRequest& why) = 0;
     /** The caller went away before its answer was written. */
-    virtual void callerGone(CallerConnection& connection) = 0;
+    virtual void callerDisconnected(CallerConnection& connection) = 0;
     /** The caller has taken most of what was written. */
     virtual void callerDrained(CallerConnection& connection) = 0;
     /** The connection is over. */
--- a/src/transport/DecisionLoop.cpp
+++ b/src/transport/DecisionLoop.cpp
@@ -118,7 +118,7 @@
         if (std::holds_alternative<node::Restart>(action)) {
             retired = true;
         } else {
-            sink_.carryOut(std::move(action));
+            sink_.execute(std::move(action));
         }
     }
     actions_.clear();
--- a/src/transport/EventSplitter.cpp
+++ b/src/transport/EventSplitter.cpp
@@ -40,8 +40,8 @@
 
 } // namespace
 
-EventSplitter::EventSplitter(std::size_t mostBytes)
-    : mostBytes_(mostBytes)
+EventSplitter::EventSplitter(std::size_t maxBytes)
+    : maxBytes_(maxBytes)
 {
 }
 
--- a/src/transport/NativeLogDialect.cpp
+++ b/src/transport/NativeLogDialect.cpp
@@ -38,7 +38,7 @@
 {
     HttpRequest request;
     request.target = pathOf(position.stream) + "/records?from=" + std::to_string(position.from.value())
-        + "&max=" + std::to_string(position.mostRecords) + "&wait_ms=" + std::to_string(position.wait.count());
+        + "&max=" + std::to_string(position.maxRecords) + "&wait_ms=" + std::to_string(position.wait.count());
     return request;
 }
 
--- a/src/transport/PlatformClient.cpp
+++ b/src/transport/PlatformClient.cpp
@@ -39,8 +39,8 @@
 
     void awaitCommands();
     void takeCommands();
-    void carryOut(const node::WatchBackends& watch);
-    void carryOut(const node::SendOrder& order);
+    void execute(const node::WatchBackends& watch);
+    void execute(const node::SendOrder& order);
     void askVmList();
     void vmListCame(const std::optional<HttpResponse>& answer);
 
@@ -69,11 +69,11 @@
 {
     inbox.wakeup().consume();
     while (const auto command = inbox.tryPop()) {
-        std::visit([this](const auto& order) { carryOut(order); }, *command);
+        std::visit([this](const auto& order) { execute(order); }, *command);
     }
 }
 
-void PlatformClient::State::carryOut(const node::WatchBackends& watch)
+void PlatformClient::State::execute(const node::WatchBackends& watch)
 {
     std::map<std::pair<BackendId, bool>, std::shared_ptr<internal::BackendPoller>> wanted;
     const auto want = [&](const BackendId& backend, bool hasCache) {
@@ -100,7 +100,7 @@
     }
 }
 
-void PlatformClient::State::carryOut(const node::SendOrder& order)
+void PlatformClient::State::execute(const node::SendOrder& order)
 {
     const auto answer = [this, backend = order.backend](const std::optional<HttpResponse>& response) {
         node::OrderAnswered answered;
--- a/src/transport/PassageReaders.cpp
+++ b/src/transport/ProxyAnswerReaders.cpp
@@ -1,4 +1,4 @@
-#include "transport/PassageReaders.h"
+#include "transport/ProxyAnswerReaders.h"
 
 #include <utility>
 
@@ -12,17 +12,17 @@
 
 } // namespace
 
-PassageReader::PassageReader(ExpectedAnswer expected)
+ProxyAnswerReader::ProxyAnswerReader(ExpectedAnswer expected)
     : expected_(std::move(expected))
 {
 }
 
-bool PassageReader::success() const noexcept
+bool ProxyAnswerReader::success() const noexcept
 {
     return head_.status >= firstSuccess && head_.status < firstBeyondSuccess;
 }
 
-HeadVerdict PassageReader::head(const AnswerHead& head)
+HeadVerdict ProxyAnswerReader::head(const AnswerHead& head)
 {
     if (head.status < firstSuccess) {
         static_cast<void>(broken("an interim answer"));
@@ -45,33 +45,30 @@
     return HeadVerdict::Body;
 }
 
-AttemptResult PassageReader::refusal(const std::string& /*body*/) const
+AttemptResult ProxyAnswerReader::refusal(const std::string& /*body*/) const
 {
     return otherServer_ ? AttemptResult::Misdirected : AttemptResult::Refused;
 }
 
-ReadState PassageReader::collect(std::string_view bytes)
+ReadState ProxyAnswerReader::collect(std::string_view bytes)
 {
     body_ += bytes;
     return body_.size() > expected_.mostBodyBytes ? broken("the answer is too large") : ReadState::More;
 }
 
-AttemptResult WholePassageReader::result() const
-{
-    return success() ? AttemptResult::Completed : AttemptResult::Failed;
-}
+AttemptResult ProxyWholeReader::result() const { return success() ? AttemptResult::Completed : AttemptResult::Failed; }
 
-EventPassageReader::EventPassageReader(ExpectedAnswer expected, AnswerSink sink, std::optional<std::uint64_t> last)
-    : PassageReader(std::move(expected))
+ProxyEventReader::ProxyEventReader(ExpectedAnswer expected, AnswerSink sink, std::optional<std::uint64_t> last)
+    : ProxyAnswerReader(std::move(expected))
     , sink_(std::move(sink))
     , last_(last)
     , splitter_(this->expected().mostEventBytes)
 {
 }
 
-HeadVerdict EventPassageReader::head(const AnswerHead& head)
+HeadVerdict ProxyEventReader::head(const AnswerHead& head)
 {
-    const HeadVerdict verdict = PassageReader::head(head);
+    const HeadVerdict verdict = ProxyAnswerReader::head(head);
     if (verdict != HeadVerdict::Body) {
         return verdict;
     }
@@ -84,7 +81,7 @@
     return verdict;
 }
 
-ReadState EventPassageReader::take(std::string_view bytes)
+ReadState ProxyEventReader::take(std::string_view bytes)
 {
     if (!events_) {
         return collect(bytes);
@@ -98,7 +95,7 @@
     return splitter_.tooLarge() ? broken("an event is too large") : ReadState::More;
 }
 
-ReadState EventPassageReader::takeEvent(StreamEvent&& event)
+ReadState ProxyEventReader::takeEvent(StreamEvent&& event)
 {
     if (!event.id) {
         return broken("an event without an id");
@@ -117,7 +114,7 @@
     return ReadState::More;
 }
 
-ReadState EventPassageReader::end()
+ReadState ProxyEventReader::end()
 {
     if (events_ && splitter_.partial()) {
         return broken("the stream ended within an event");
@@ -125,6 +122,6 @@
     return ReadState::Whole;
 }
 
-AttemptResult EventPassageReader::result() const { return events_ ? AttemptResult::Completed : AttemptResult::Failed; }
+AttemptResult ProxyEventReader::result() const { return events_ ? AttemptResult::Completed : AttemptResult::Failed; }
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/PassageReaders.h
+++ b/src/transport/ProxyAnswerReaders.h
@@ -8,14 +8,14 @@
 #include <string_view>
 
 #include "swiftlift/transport/EventSplitter.h"
-#include "swiftlift/transport/PassageDialect.h"
+#include "swiftlift/transport/ProxyDialect.h"
 #include "transport/AnswerReader.h"
 
 namespace swiftlift::transport::internal {
 
 /** What the readers of one request's answers share. */
 struct ExpectedAnswer {
-    const PassageDialect* dialect = nullptr;
+    const ProxyDialect* dialect = nullptr;
     std::string requestId;
     std::size_t mostBodyBytes = 0;
     std::size_t mostEventBytes = 0;
@@ -28,9 +28,9 @@
  * and a caller takes them for its own. One notices by a request id that isn't the one asked for, or a missing
  * signature.
  */
-class PassageReader : public AnswerReader {
+class ProxyAnswerReader : public AnswerReader {
 public:
-    explicit PassageReader(ExpectedAnswer expected);
+    explicit ProxyAnswerReader(ExpectedAnswer expected);
 
     [[nodiscard]] HeadVerdict head(const AnswerHead& head) override;
     [[nodiscard]] AttemptResult refusal(const std::string& body) const override;
@@ -54,9 +54,9 @@
 };
 
 /** One body, kept until it is whole: one that breaks off never looks like an answer. */
-class WholePassageReader final : public PassageReader {
+class ProxyWholeReader final : public ProxyAnswerReader {
 public:
-    using PassageReader::PassageReader;
+    using ProxyAnswerReader::ProxyAnswerReader;
 
     [[nodiscard]] ReadState take(std::string_view bytes) override { return collect(bytes); }
     [[nodiscard]] ReadState end() override { return ReadState::Whole; }
@@ -64,10 +64,10 @@
 };
 
 /** Events with rising ids, each handed on as soon as it is whole. */
-class EventPassageReader final : public PassageReader {
+class ProxyEventReader final : public ProxyAnswerReader {
 public:
     /** @param last The last event that the caller has; nothing: it has none. */
-    EventPassageReader(ExpectedAnswer expected, AnswerSink sink, std::optional<std::uint64_t> last);
+    ProxyEventReader(ExpectedAnswer expected, AnswerSink sink, std::optional<std::uint64_t> last);
 
     [[nodiscard]] HeadVerdict head(const AnswerHead& head) override;
     [[nodiscard]] ReadState take(std::string_view bytes) override;
--- a/src/transport/PassageCall.cpp
+++ b/src/transport/ProxyCall.cpp
@@ -1,9 +1,9 @@
-#include "transport/PassageCall.h"
+#include "transport/ProxyCall.h"
 
 #include <utility>
 
 #include "transport/HttpText.h"
-#include "transport/PassageText.h"
+#include "transport/ProxyText.h"
 
 namespace swiftlift::transport::internal {
 
@@ -18,8 +18,8 @@
 
 } // namespace
 
-PassageCall::PassageCall(StreamContext& context, const PassageDialect& dialect, CallId id, RequestHead head,
-    std::string body, std::string requestId, CallerConnection& caller)
+ProxyCall::ProxyCall(StreamContext& context, const ProxyDialect& dialect, CallId id, RequestHead head, std::string body,
+    std::string requestId, CallerConnection& caller)
     : context_(context)
     , dialect_(dialect)
     , id_(id)
@@ -31,13 +31,13 @@
 {
 }
 
-std::string PassageCall::requestFor(const node::PassOn& order) const
+std::string ProxyCall::requestFor(const node::ProxyDispatch& order) const
 {
     const HeaderFields fields = dialect_.towardsBackend(endToEnd(head_.fields), order, lastEvent_);
     return requestText(head_.method, head_.target, fields, body_);
 }
 
-void PassageCall::passEvent(std::string&& event)
+void ProxyCall::passEvent(std::string&& event)
 {
     observeEvent();
     ++events_;
@@ -55,7 +55,7 @@
     caller_->stream(bytes);
 }
 
-void PassageCall::observeEvent()
+void ProxyCall::observeEvent()
 {
     if (events_ == 0) {
         context_.observer.firstToken(since(arrived_));
@@ -65,7 +65,7 @@
     lastPart_ = steady_clock::now();
 }
 
-void PassageCall::passEnd()
+void ProxyCall::passEnd()
 {
     const auto caller = std::exchange(caller_, nullptr);
     if (!caller) {
@@ -83,9 +83,9 @@
         + reader_->body());
 }
 
-void PassageCall::keepFailure() { failure_ = reader_; }
+void ProxyCall::keepFailure() { failure_ = reader_; }
 
-void PassageCall::passFailure()
+void ProxyCall::passFailure()
 {
     const auto caller = std::exchange(caller_, nullptr);
     if (!caller) {
@@ -99,7 +99,7 @@
         + failure_->body());
 }
 
-void PassageCall::finish(const node::Reply& reply)
+void ProxyCall::finish(const node::Reply& reply)
 {
     const auto caller = std::exchange(caller_, nullptr);
     if (!caller) {
@@ -114,13 +114,10 @@
     writeRefusal(*caller, dialect_, reply, requestId_);
 }
 
-bool PassageCall::callerIsSlow() const noexcept
-{
-    return caller_ && caller_->unsent() > context_.limits.pauseAboveBytes;
-}
+bool ProxyCall::callerIsSlow() const noexcept { return caller_ && caller_->unsent() > context_.limits.pauseAboveBytes; }
 
 void writeRefusal(
-    CallerConnection& caller, const PassageDialect& dialect, const node::Reply& refusal, const std::string& requestId)
+    CallerConnection& caller, const ProxyDialect& dialect, const node::Reply& refusal, const std::string& requestId)
 {
     AnswerHead head { refusal.status, dialect.ofRefusal(refusal, requestId) };
     head.fields.push_back({ "Content-Type", "text/plain" });
--- a/src/transport/PassageCall.h
+++ b/src/transport/ProxyCall.h
@@ -6,25 +6,25 @@
 #include <optional>
 #include <string>
 
-#include "swiftlift/node/Passage.h"
-#include "swiftlift/transport/PassageDialect.h"
+#include "swiftlift/node/ProxyRequest.h"
+#include "swiftlift/transport/ProxyDialect.h"
 #include "transport/CallerConnection.h"
-#include "transport/PassageReaders.h"
+#include "transport/ProxyAnswerReaders.h"
 #include "transport/StreamContext.h"
 
 namespace swiftlift::transport::internal {
 
 /** A caller's request that is passed on as it came: its bytes, and what its caller has been given. */
-class PassageCall {
+class ProxyCall {
 public:
-    PassageCall(StreamContext& context, const PassageDialect& dialect, CallId id, RequestHead head, std::string body,
+    ProxyCall(StreamContext& context, const ProxyDialect& dialect, CallId id, RequestHead head, std::string body,
         std::string requestId, CallerConnection& caller);
 
     /** @return The request as a backend server is sent it. */
-    [[nodiscard]] std::string requestFor(const node::PassOn& order) const;
+    [[nodiscard]] std::string requestFor(const node::ProxyDispatch& order) const;
 
     /** The reader of the present attempt's answer. */
-    void readBy(std::shared_ptr<PassageReader> reader) { reader_ = std::move(reader); }
+    void readBy(std::shared_ptr<ProxyAnswerReader> reader) { reader_ = std::move(reader); }
 
     /** Writes one event; the first one of all attempts is preceded by the head of its answer. */
     void passEvent(std::string&& event);
@@ -40,7 +40,7 @@
     /** Writes a refusal; breaks the connection off where an answer has begun. */
     void finish(const node::Reply& reply);
 
-    void callerGone() noexcept { caller_.reset(); }
+    void callerDisconnected() noexcept { caller_.reset(); }
     /** @return Whether the caller's connection has ended, as the system knows it now. */
     [[nodiscard]] bool callerHasLeft() const noexcept { return !caller_ || caller_->ended(); }
     /** @return Whether the caller takes its answer more slowly than it comes. */
@@ -57,14 +57,14 @@
     void observeEvent();
 
     StreamContext& context_;
-    const PassageDialect& dialect_;
+    const ProxyDialect& dialect_;
     CallId id_;
     RequestHead head_;
     std::string body_;
     std::string requestId_;
     std::shared_ptr<CallerConnection> caller_;
-    std::shared_ptr<PassageReader> reader_;
-    std::shared_ptr<PassageReader> failure_;
+    std::shared_ptr<ProxyAnswerReader> reader_;
+    std::shared_ptr<ProxyAnswerReader> failure_;
     std::uint64_t events_ = 0;
     std::optional<std::uint64_t> lastEvent_;
     std::chrono::steady_clock::time_point arrived_;
@@ -73,6 +73,6 @@
 
 /** Writes a refusal, its status and what it tells besides. */
 void writeRefusal(
-    CallerConnection& caller, const PassageDialect& dialect, const node::Reply& refusal, const std::string& requestId);
+    CallerConnection& caller, const ProxyDialect& dialect, const node::Reply& refusal, const std::string& requestId);
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/PassageTable.cpp
+++ b/src/transport/ProxyCallTable.cpp
@@ -1,4 +1,4 @@
-#include "transport/PassageTable.h"
+#include "transport/ProxyCallTable.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 #include "swiftlift/transport/CallerText.h"
 #include "swiftlift/transport/DecisionLoop.h"
 #include "swiftlift/transport/Hashing.h"
-#include "transport/PassageText.h"
+#include "transport/ProxyText.h"
 
 namespace swiftlift::transport::internal {
 
@@ -29,40 +29,40 @@
         return head;
     }
 
-    node::PassageEnd toEnd(AttemptResult result)
+    node::ProxyAttemptEnd toEnd(AttemptResult result)
     {
         switch (result) {
         case AttemptResult::Completed:
-            return node::PassageEnd::Completed;
+            return node::ProxyAttemptEnd::Completed;
         case AttemptResult::Unreachable:
-            return node::PassageEnd::Unreachable;
+            return node::ProxyAttemptEnd::Unreachable;
         case AttemptResult::Refused:
         case AttemptResult::Leaving:
-            return node::PassageEnd::Refused;
+            return node::ProxyAttemptEnd::Refused;
         case AttemptResult::Misdirected:
-            return node::PassageEnd::Misdirected;
+            return node::ProxyAttemptEnd::Misdirected;
         case AttemptResult::Failed:
-            return node::PassageEnd::Failed;
+            return node::ProxyAttemptEnd::Failed;
         case AttemptResult::Broken:
-            return node::PassageEnd::Broken;
+            return node::ProxyAttemptEnd::Broken;
         }
-        return node::PassageEnd::Broken;
+        return node::ProxyAttemptEnd::Broken;
     }
 
 } // namespace
 
-PassageTable::PassageTable(StreamContext& context, std::shared_ptr<const PassageDialect> dialect)
+ProxyCallTable::ProxyCallTable(StreamContext& context, std::shared_ptr<const ProxyDialect> dialect)
     : context_(context)
     , dialect_(std::move(dialect))
     , pool_(context)
-    , intake_({ context.limits.mostLag, context.limits.mostDecisionsWaiting, context.limits.linkBytesPerSecond })
+    , intake_({ context.limits.maxLag, context.limits.maxDecisionsWaiting, context.limits.linkBytesPerSecond })
 {
 }
 
-void PassageTable::accept(boost::asio::ip::tcp::socket socket) { addCaller(std::move(socket), false); }
-void PassageTable::acceptReadiness(boost::asio::ip::tcp::socket socket) { addCaller(std::move(socket), true); }
+void ProxyCallTable::accept(boost::asio::ip::tcp::socket socket) { addCaller(std::move(socket), false); }
+void ProxyCallTable::acceptReadiness(boost::asio::ip::tcp::socket socket) { addCaller(std::move(socket), true); }
 
-void PassageTable::addCaller(boost::asio::ip::tcp::socket socket, bool asksReadiness)
+void ProxyCallTable::addCaller(boost::asio::ip::tcp::socket socket, bool asksReadiness)
 {
     if (connections_.size() >= context_.limits.connections) {
         ++context_.counts.overloaded;
@@ -76,13 +76,13 @@
     connection->start();
 }
 
-void PassageTable::answerReadiness(CallerConnection& connection)
+void ProxyCallTable::answerReadiness(CallerConnection& connection)
 {
     const AnswerHead head { readiness_.ready && wantsCallers() ? statusReady : statusNotReady, {} };
     connection.reply(answerHeadText(head, Framing::Length, 0, connection.keepAlive()));
 }
 
-void PassageTable::requestCame(CallerConnection& connection, CallerMessage&& request)
+void ProxyCallTable::requestCame(CallerConnection& connection, CallerMessage&& request)
 {
     if (readinessAskers_.contains(&connection)) {
         answerReadiness(connection);
@@ -98,42 +98,42 @@
         writeRefusal(connection, *dialect_, *refused, {});
         return;
     }
-    auto& known = std::get<node::PassageFacts>(facts);
+    auto& known = std::get<node::ProxyRequestInfo>(facts);
     const CallId id(++lastNumber_);
     const std::string requestId = known.id;
     known.content = contentDigest(head.method, known.host, head.target, request.body());
     if (!takenIn(connection, requestId)) {
         return;
     }
-    TaggedEvent event { Incarnation {}, node::PassageArrived { id, std::move(known), steadyInstant() } };
+    TaggedEvent event { Incarnation {}, node::ProxyRequestArrived { id, std::move(known), steadyInstant() } };
     if (!context_.decisions.tryPush(std::move(event), reservedEvents)) {
         refuseOverloaded(connection, requestId);
         return;
     }
     calls_.emplace(id,
-        std::make_shared<PassageCall>(
+        std::make_shared<ProxyCall>(
             context_, *dialect_, id, std::move(head), std::move(request.body()), requestId, connection));
     connection.setCall(id);
 }
 
-bool PassageTable::takenIn(CallerConnection& connection, const std::string& requestId)
+bool ProxyCallTable::takenIn(CallerConnection& connection, const std::string& requestId)
 {
     const auto lag = std::chrono::duration_cast<Duration>(context_.lag);
-    const routing::IntakeLoad load { lag, context_.decisions.size(), connection.ended() };
+    const routing::ObservedLoad load { lag, context_.decisions.size(), connection.ended() };
     switch (intake_.onRequest(load, steadyInstant())) {
-    case routing::IntakeVerdict::TakeIn:
+    case routing::LoadShedVerdict::Accept:
         return true;
-    case routing::IntakeVerdict::Refuse:
+    case routing::LoadShedVerdict::Refuse:
         refuseOverloaded(connection, requestId);
         return false;
-    case routing::IntakeVerdict::Drop:
+    case routing::LoadShedVerdict::Drop:
         dropLeft(connection, requestId);
         return false;
     }
     return false;
 }
 
-void PassageTable::dropLeft(CallerConnection& connection, const std::string& requestId)
+void ProxyCallTable::dropLeft(CallerConnection& connection, const std::string& requestId)
 {
     ++context_.counts.leftUnread;
     context_.log.write(logging::Level::Info, "caller_gone",
@@ -142,7 +142,7 @@
     connection.close();
 }
 
-bool PassageTable::wantsCallers()
+bool ProxyCallTable::wantsCallers()
 {
     const bool wanted = intake_.ready(steadyInstant());
     if (wanted != std::exchange(wantedCallers_, wanted)) {
@@ -153,7 +153,7 @@
     return wanted;
 }
 
-void PassageTable::refuseOverloaded(CallerConnection& connection, const std::string& requestId)
+void ProxyCallTable::refuseOverloaded(CallerConnection& connection, const std::string& requestId)
 {
     ++context_.counts.overloaded;
     const node::Reply reply = overloadedRefusal("the router has too much waiting");
@@ -165,31 +165,31 @@
     writeRefusal(connection, *dialect_, reply, requestId);
 }
 
-void PassageTable::requestUnreadable(CallerConnection& connection, const UnreadableRequest& why)
+void ProxyCallTable::requestUnreadable(CallerConnection& connection, const UnreadableRequest& why)
 {
     context_.log.write(logging::Level::Info, "unreadable_request",
         { { "status", std::int64_t { why.status } }, { "reason", why.reason }, { "detail", why.detail } });
     writeRefusal(connection, *dialect_, refusal(why.status, why.reason, why.detail), {});
 }
 
-void PassageTable::callerGone(CallerConnection& connection)
+void ProxyCallTable::callerDisconnected(CallerConnection& connection)
 {
     if (const auto call = take(*connection.call())) {
-        context_.events.push({ Incarnation {}, node::PassageAbandoned { call->id(), call->events() } });
-        call->callerGone();
+        context_.events.push({ Incarnation {}, node::ProxyRequestAbandoned { call->id(), call->events() } });
+        call->callerDisconnected();
         running_.resume(call->id());
     }
 }
 
-void PassageTable::callerDrained(CallerConnection& connection) { running_.resume(*connection.call()); }
+void ProxyCallTable::callerDrained(CallerConnection& connection) { running_.resume(*connection.call()); }
 
-void PassageTable::connectionClosed(CallerConnection& connection)
+void ProxyCallTable::connectionClosed(CallerConnection& connection)
 {
     readinessAskers_.erase(&connection);
     connections_.erase(connection.shared_from_this());
 }
 
-void PassageTable::answerPartCame(Attempt& attempt, std::string part)
+void ProxyCallTable::answerPartCame(Attempt& attempt, std::string part)
 {
     Running* const found = running_.find(attempt.id());
     if (found == nullptr) {
@@ -206,7 +206,7 @@
     }
 }
 
-void PassageTable::attemptEnded(Attempt& attempt, AttemptResult result, std::string detail)
+void ProxyCallTable::attemptEnded(Attempt& attempt, AttemptResult result, std::string detail)
 {
     const auto running = running_.take(attempt.id());
     if (!running) {
@@ -219,27 +219,28 @@
         running->call->keepFailure();
     }
     context_.events.push({ context_.incarnation,
-        node::PassageEnded { attempt.id(), toEnd(result), attempt.status(), running->call->events(), std::move(detail),
-            attempt.connectionLost() } });
+        node::ProxyAttemptEnded { attempt.id(), toEnd(result), attempt.status(), running->call->events(),
+            std::move(detail), attempt.connectionLost() } });
 }
 
-void PassageTable::carryOut(StreamCommand&& command)
+void ProxyCallTable::execute(StreamCommand&& command)
 {
-    std::visit([this](auto&& order) { carryOut(std::forward<decltype(order)>(order)); }, std::move(command));
+    std::visit([this](auto&& order) { execute(std::forward<decltype(order)>(order)); }, std::move(command));
 }
 
-void PassageTable::carryOut(node::PassOn&& order)
+void ProxyCallTable::execute(node::ProxyDispatch&& order)
 {
     const auto found = calls_.find(order.call);
     if (found == calls_.end() || running_.contains(order.attempt)) {
         context_.events.push({ context_.incarnation,
-            node::PassageEnded { order.attempt, node::PassageEnd::Unreachable, 0, 0, "the caller is gone" } });
+            node::ProxyAttemptEnded {
+                order.attempt, node::ProxyAttemptEnd::Unreachable, 0, 0, "the caller is gone" } });
         return;
     }
     const auto call = found->second;
     // A caller's leaving may wait to be read behind much else. Sent on nevertheless, its request would work for nobody.
     if (call->callerHasLeft()) {
-        context_.events.push({ Incarnation {}, node::PassageAbandoned { call->id(), call->events() } });
+        context_.events.push({ Incarnation {}, node::ProxyRequestAbandoned { call->id(), call->events() } });
         calls_.erase(found);
         return;
     }
@@ -248,7 +249,7 @@
     attempt->start();
 }
 
-AttemptOrder PassageTable::orderOf(const node::PassOn& passOn, PassageCall& call) const
+AttemptOrder ProxyCallTable::orderOf(const node::ProxyDispatch& passOn, ProxyCall& call) const
 {
     AttemptOrder order;
     order.attempt = passOn.attempt;
@@ -264,11 +265,11 @@
     const bool events = passOn.answer == fleet::AnswerKind::Events;
     order.makeReader = [expected, events, &call](AnswerSink sink) -> std::shared_ptr<AnswerReader> {
         // The call goes on reading the answer's head and body after the attempt has ended.
-        std::shared_ptr<PassageReader> reader;
+        std::shared_ptr<ProxyAnswerReader> reader;
         if (events) {
-            reader = std::make_shared<EventPassageReader>(expected, std::move(sink), call.lastEvent());
+            reader = std::make_shared<ProxyEventReader>(expected, std::move(sink), call.lastEvent());
         } else {
-            reader = std::make_shared<WholePassageReader>(expected);
+            reader = std::make_shared<ProxyWholeReader>(expected);
         }
         call.readBy(reader);
         return reader;
@@ -276,7 +277,7 @@
     return order;
 }
 
-void PassageTable::carryOut(node::PassFailureOn&& order)
+void ProxyCallTable::execute(node::ProxyFailureReply&& order)
 {
     if (const auto call = take(order.call)) {
         call->passFailure();
@@ -285,16 +286,16 @@
 }
 
 // The bill of what a backend server has had waits for what its caller has been given.
-void PassageTable::reportCut(const PassageCall& call)
+void ProxyCallTable::reportCut(const ProxyCall& call)
 {
     if (call.offered()) {
-        context_.events.push({ Incarnation {}, node::PassageAbandoned { call.id(), call.events() } });
+        context_.events.push({ Incarnation {}, node::ProxyRequestAbandoned { call.id(), call.events() } });
     }
 }
 
-void PassageTable::carryOut(node::CancelAttempt&& cancel) { running_.cancel(cancel.attempt); }
+void ProxyCallTable::execute(node::CancelAttempt&& cancel) { running_.cancel(cancel.attempt); }
 
-void PassageTable::carryOut(node::Reply&& reply)
+void ProxyCallTable::execute(node::Reply&& reply)
 {
     if (const auto call = take(reply.call)) {
         call->finish(reply);
@@ -302,7 +303,7 @@
     }
 }
 
-void PassageTable::carryOut(node::AnnounceReadiness&& readiness)
+void ProxyCallTable::execute(node::AnnounceReadiness&& readiness)
 {
     readiness_ = readiness;
     if (readiness.closing) {
@@ -310,7 +311,7 @@
     }
 }
 
-void PassageTable::carryOut(node::SetCallerLimits&& limits)
+void ProxyCallTable::execute(node::SetCallerLimits&& limits)
 {
     using std::chrono::duration_cast;
     using std::chrono::milliseconds;
@@ -320,28 +321,28 @@
     context_.limits.idleTime = duration_cast<milliseconds>(limits.limits.idleTime);
 }
 
-void PassageTable::carryOut(BeginIncarnation&& begin)
+void ProxyCallTable::execute(BeginIncarnation&& begin)
 {
     context_.incarnation = begin.incarnation;
     // The former core said that nothing is in progress; what runs nevertheless can't be told to anybody any more.
     running_.cancelAll();
 }
 
-void PassageTable::reportFirstEvent(Running& running)
+void ProxyCallTable::reportFirstEvent(Running& running)
 {
     running.reportedEvents = running.call->events();
     context_.events.push(
-        { context_.incarnation, node::PassageProgress { running.attempt->id(), running.reportedEvents } });
+        { context_.incarnation, node::ProxyAttemptProgress { running.attempt->id(), running.reportedEvents } });
 }
 
-void PassageTable::sweep()
+void ProxyCallTable::sweep()
 {
     context_.events.flush();
     pool_.sweep();
     intake_.onTraffic(context_.traffic, steadyInstant());
 }
 
-void PassageTable::closeIdleConnections()
+void ProxyCallTable::closeIdleConnections()
 {
     const auto connections = connections_;
     for (const auto& connection : connections) {
@@ -351,7 +352,7 @@
     }
 }
 
-void PassageTable::closeAll()
+void ProxyCallTable::closeAll()
 {
     running_.cancelAll();
     closeConnections(connections_);
@@ -359,7 +360,7 @@
     pool_.clear();
 }
 
-StreamCounts PassageTable::counts() const
+StreamCounts ProxyCallTable::counts() const
 {
     StreamCounts counts = context_.counts;
     counts.connections = connections_.size();
@@ -368,7 +369,7 @@
     return counts;
 }
 
-std::shared_ptr<PassageCall> PassageTable::take(CallId call)
+std::shared_ptr<ProxyCall> ProxyCallTable::take(CallId call)
 {
     const auto found = calls_.find(call);
     if (found == calls_.end()) {
--- a/src/transport/PassageText.cpp
+++ b/src/transport/ProxyText.cpp
@@ -1,4 +1,4 @@
-#include "transport/PassageText.h"
+#include "transport/ProxyText.h"
 
 #include <boost/beast/http.hpp>
 
--- a/src/transport/StreamContext.h
+++ b/src/transport/StreamContext.h
@@ -5,7 +5,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "swiftlift/ring/Outbox.h"
-#include "swiftlift/routing/Intake.h"
+#include "swiftlift/routing/LoadShedder.h"
 #include "swiftlift/transport/StreamServer.h"
 #include "transport/ReadPacer.h"
 
--- a/src/transport/StreamServer.cpp
+++ b/src/transport/StreamServer.cpp
@@ -14,7 +14,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "transport/CallTable.h"
-#include "transport/PassageTable.h"
+#include "transport/ProxyCallTable.h"
 
 namespace swiftlift::transport {
 
@@ -28,10 +28,10 @@
     constexpr std::chrono::milliseconds acceptRetry { 100 };
 
     std::unique_ptr<internal::StreamTable> makeTable(
-        internal::StreamContext& context, std::shared_ptr<const PassageDialect> dialect)
+        internal::StreamContext& context, std::shared_ptr<const ProxyDialect> dialect)
     {
         if (dialect) {
-            return std::make_unique<internal::PassageTable>(context, std::move(dialect));
+            return std::make_unique<internal::ProxyCallTable>(context, std::move(dialect));
         }
         return std::make_unique<internal::CallTable>(context);
     }
@@ -57,7 +57,7 @@
 
 struct StreamServer::State {
     State(StreamLimits given, DecisionInbox& decisions, StreamObserver& observer, logging::JsonLog& log,
-        std::shared_ptr<const PassageDialect> dialect)
+        std::shared_ptr<const ProxyDialect> dialect)
         : limits(given)
         , inbox(commandRingCapacity)
         , context { loop, limits, decisions, ring::Outbox<TaggedEvent>(decisions), observer, log,
@@ -162,7 +162,7 @@
         if (!command) {
             return;
         }
-        table->carryOut(std::move(*command));
+        table->execute(std::move(*command));
     }
     // There may be more; let the sockets have their turn first.
     inbox.wakeup().signal();
@@ -215,7 +215,7 @@
 }
 
 StreamServer::StreamServer(StreamLimits limits, DecisionInbox& decisions, StreamObserver& observer,
-    logging::JsonLog& log, std::shared_ptr<const PassageDialect> dialect)
+    logging::JsonLog& log, std::shared_ptr<const ProxyDialect> dialect)
     : state_(std::make_unique<State>(limits, decisions, observer, log, std::move(dialect)))
 {
 }
--- a/src/transport/StreamTable.h
+++ b/src/transport/StreamTable.h
@@ -17,7 +17,7 @@
     virtual void accept(boost::asio::ip::tcp::socket socket) = 0;
     /** Somebody asks whether this VM may be sent callers. */
     virtual void acceptReadiness(boost::asio::ip::tcp::socket socket) = 0;
-    virtual void carryOut(StreamCommand&& command) = 0;
+    virtual void execute(StreamCommand&& command) = 0;
 
     /** To be called often: reports progress, drops what has waited too long. */
     virtual void sweep() = 0;
--- a/src/wire/PeerWriter.cpp
+++ b/src/wire/PeerWriter.cpp
@@ -22,7 +22,7 @@
             auto& added = *out.add_ceilings();
             write(ceiling.grant, *added.mutable_grant());
             added.set_ceiling(ceiling.ceiling.value());
-            added.set_alone(ceiling.alone);
+            added.set_alone(ceiling.holderOnly);
         }
     }
 
@@ -75,7 +75,7 @@
     write(message.budget, *body.mutable_budget());
     write(message.grant, *body.mutable_grant());
     body.set_tokens(message.amount.value());
-    body.set_alone(message.alone);
+    body.set_alone(message.holderOnly);
 }
 
 void write(const node::LoanDenied& message, proto::peer::Envelope& out)
--- a/tests/config/ConfigFoldTest.cpp
+++ b/tests/config/ConfigFoldTest.cpp
@@ -232,13 +232,13 @@
             (void)append(publish(document("desk", i + 1) + padding, replaces, static_cast<std::uint64_t>(i) + 1));
             replaces = Offset { static_cast<std::uint64_t>(i) };
         }
-        const KeptRecords tail = fold_.recordsFrom(Offset { 28 }, 1'000'000);
+        const RetainedRecords tail = fold_.recordsFrom(Offset { 28 }, 1'000'000);
         EXPECT_EQ(tail.first, Offset { 28 });
         EXPECT_EQ(tail.records.size(), 2U);
         EXPECT_EQ(fold_.recordsFrom(Offset { 28 }, 1).records.size(), 1U);
         EXPECT_TRUE(fold_.recordsFrom(Offset { 30 }, 1'000).records.empty());
 
-        const KeptRecords state = fold_.recordsFrom(Offset { 0 }, 1'000);
+        const RetainedRecords state = fold_.recordsFrom(Offset { 0 }, 1'000);
         ASSERT_EQ(state.records.size(), 1U);
         ConfigFold fresh;
         std::vector<ConfigEffect> effects;
--- a/tests/experiment/Experiment.cpp
+++ b/tests/experiment/Experiment.cpp
@@ -25,7 +25,7 @@
         Run(const Shape& shape, const Failure& failure, const Policy& policy, std::uint64_t seed)
             : shape_(shape)
             , failure_(failure)
-            , fleet_(policy.moneyPolicy, static_cast<std::uint32_t>(shape.vms.size()))
+            , fleet_(policy.holdingPolicy, static_cast<std::uint32_t>(shape.vms.size()))
             , random_(seed)
         {
             fleet_.onReply = [this](const node::Reply& reply) { onReply(reply); };
--- a/tests/experiment/Experiment.h
+++ b/tests/experiment/Experiment.h
@@ -35,7 +35,7 @@
 /** How budgets are held. */
 struct Policy {
     std::string name;
-    std::string moneyPolicy;
+    std::string holdingPolicy;
     std::string weighting;
 };
 
--- a/tests/fleet/RouteTableTest.cpp
+++ b/tests/fleet/RouteTableTest.cpp
@@ -43,8 +43,8 @@
         EXPECT_EQ(table.accountOf("k2")->id, AccountId("one"));
         EXPECT_EQ(table.accountOf("k3")->id, AccountId("two"));
         EXPECT_EQ(table.accountOf(""), nullptr);
-        EXPECT_TRUE(table.keysNeeded());
-        EXPECT_FALSE(tableOf({}).keysNeeded());
+        EXPECT_TRUE(table.requiresKeys());
+        EXPECT_FALSE(tableOf({}).requiresKeys());
     }
 
     TEST(RouteTableTest, WeightsSplitAndNothingGoesToWeightZero)
--- a/tests/ledger/CheckpointTurnsTest.cpp
+++ b/tests/ledger/CheckpointScheduleTest.cpp
@@ -1,4 +1,4 @@
-#include "swiftlift/ledger/CheckpointTurns.h"
+#include "swiftlift/ledger/CheckpointSchedule.h"
 
 #include <vector>
 
@@ -12,13 +12,13 @@
     /** @return Moments at which any of the routers, started together, kept a checkpoint. */
     std::vector<Instant> keptBy(std::uint32_t routers, Duration time)
     {
-        std::vector<CheckpointTurns> fleet;
+        std::vector<CheckpointSchedule> fleet;
         for (std::uint32_t router = 0; router < routers; ++router) {
             fleet.emplace_back(2s, 1 + router);
         }
         std::vector<Instant> kept;
         for (Instant now { 100s }; now < Instant { 100s } + time; now += 50ms) {
-            for (CheckpointTurns& turns : fleet) {
+            for (CheckpointSchedule& turns : fleet) {
                 if (turns.due(now, routers)) {
                     kept.push_back(now);
                 }
@@ -30,7 +30,7 @@
     // Symptom: after a loss of power of all VMs, 5 s go by until the first request is served.
     // Events: 81 routers started together 55 s before; each kept a checkpoint within its first 3 s, and none since.
     // Cause: the next turn of each was a whole round, 162 s, later.
-    TEST(CheckpointTurnsTest, ComeOneAfterTheOtherAlsoWhenAllStartTogether)
+    TEST(CheckpointScheduleTest, ComeOneAfterTheOtherAlsoWhenAllStartTogether)
     {
         const std::vector<Instant> kept = keptBy(81, 60s);
         EXPECT_GT(kept.size(), 15U);
@@ -42,7 +42,7 @@
         }
     }
 
-    TEST(CheckpointTurnsTest, OneRouterAloneKeepsThemAnIntervalApartInTheMean)
+    TEST(CheckpointScheduleTest, OneRouterAloneKeepsThemAnIntervalApartInTheMean)
     {
         const std::size_t kept = keptBy(1, 200s).size();
         EXPECT_GT(kept, 70U);
--- a/tests/ledger/ExploreNode.cpp
+++ b/tests/ledger/ExploreNode.cpp
@@ -28,7 +28,7 @@
     , position(other.position)
     , holder(other.holder, *fold)
     , witness(other.witness, *fold)
-    , surroundings(other.surroundings)
+    , environment(other.environment)
     , now(other.now)
     , outbox(other.outbox)
     , sequence(other.sequence)
@@ -55,7 +55,7 @@
     std::ostringstream out;
     out << holder.stateText() << witness.stateText() << "at " << position << ' ' << now.time_since_epoch().count()
         << " sequence " << sequence << " choice " << witnessChoice << " ticks " << ticks << " crashed " << crashed
-        << " stopping " << surroundings.stopping << '\n';
+        << " stopping " << environment.stopping << '\n';
     for (const Item& item : outbox)
         out << item.sequence << ' ' << textOf(item.entry) << '\n';
     for (const std::size_t index : started)
--- a/tests/ledger/ExploreTest.cpp
+++ b/tests/ledger/ExploreTest.cpp
@@ -82,7 +82,7 @@
 
     /** Acknowledges whatever it is asked, sealed or not. */
     struct NeverRefuses final : Behaviour {
-        MoneyActions onRaise(Node&, const SendRaise& raise, Incarnation from, MoneyActions) const override
+        LedgerActions onRaise(Node&, const SendRaise& raise, Incarnation from, LedgerActions) const override
         {
             return { SendCeilingsAcked { from, raise.ceilings } };
         }
--- a/tests/ledger/ExploreWorld.cpp
+++ b/tests/ledger/ExploreWorld.cpp
@@ -48,14 +48,14 @@
         auto node
             = std::make_shared<Node>(incarnationOf(index), std::make_unique<FixedPolicy>(setup), log_.back()->fold);
         node->position = log_.size();
-        node->surroundings.logReachable = !setup.cutOff.contains(index);
+        node->environment.logReachable = !setup.cutOff.contains(index);
         if (const auto witness = setup.witnesses.at(index).front())
-            node->surroundings.witness = incarnationOf(*witness);
+            node->environment.witness = incarnationOf(*witness);
         for (std::size_t other = 0; other < setup.witnesses.size(); ++other) {
             if (other != index)
-                node->surroundings.lenders.push_back(incarnationOf(other));
+                node->environment.lenders.push_back(incarnationOf(other));
         }
-        MoneyActions none;
+        LedgerActions none;
         tick(*node, none);
         node->ticks = 0;
         nodeHashes_.push_back(hashOf(node->text()));
@@ -131,7 +131,7 @@
         steps.push_back(Step { StepKind::Crash, index, 0 });
     if (node.witnessChoice + 1 < setup_->witnesses.at(index).size())
         steps.push_back(Step { StepKind::Witness, index, 0 });
-    if (setup_->mayStop.contains(index) && !node.surroundings.stopping)
+    if (setup_->mayStop.contains(index) && !node.environment.stopping)
         steps.push_back(Step { StepKind::Stop, index, 0 });
     for (const auto& [who, whom] : setup_->maySuspect) {
         if (who == index && !node.suspected.contains(whom))
@@ -143,7 +143,7 @@
 {
     const std::shared_ptr<const Message> message = step.kind == StepKind::Deliver ? messages_.at(step.index) : nullptr;
     Node& node = change(step.node);
-    MoneyActions actions;
+    LedgerActions actions;
     switch (step.kind) {
     case StepKind::Request:
         request(node, step.index, actions);
@@ -184,20 +184,20 @@
         break;
     case StepKind::Witness: {
         const auto witness = setup_->witnesses.at(step.node).at(++node.witnessChoice);
-        node.surroundings.witness = witness ? std::optional(incarnationOf(*witness)) : std::nullopt;
-        node.holder.onTick(node.now, node.surroundings, actions);
+        node.environment.witness = witness ? std::optional(incarnationOf(*witness)) : std::nullopt;
+        node.holder.onTick(node.now, node.environment, actions);
         break;
     }
     case StepKind::Stop:
-        node.surroundings.stopping = true;
-        node.holder.onTick(node.now, node.surroundings, actions);
+        node.environment.stopping = true;
+        node.holder.onTick(node.now, node.environment, actions);
         break;
     }
     emit(step.node, std::move(actions));
     nodeHashes_.at(step.node) = hashOf(node.text());
 }
 
-void World::request(Node& node, std::size_t index, MoneyActions& actions)
+void World::request(Node& node, std::size_t index, LedgerActions& actions)
 {
     const ScriptedRequest& script = setup_->requests.at(index);
     const auto result
@@ -227,7 +227,7 @@
     logHash_ = hashOf(std::to_string(logHash_) + std::to_string(item.origin.value()) + textOf(item.entry));
 }
 
-void World::read(Node& node, MoneyActions& actions)
+void World::read(Node& node, LedgerActions& actions)
 {
     const std::shared_ptr<const Record> record = log_.at(node.position);
     node.readOn(record->fold);
@@ -237,7 +237,7 @@
     }
 }
 
-void World::deliver(Node& node, const Message& message, MoneyActions& actions)
+void World::deliver(Node& node, const Message& message, LedgerActions& actions)
 {
     const Incarnation from = incarnationOf(message.from);
     Holder& holder = node.holder;
@@ -252,7 +252,8 @@
     } else if (const auto* const ask = std::get_if<SendLoanAsk>(&message.body)) {
         holder.onLoanAsk(from, ask->loan, ask->budget, ask->amount, now, actions);
     } else if (const auto* const given = std::get_if<SendLoanGiven>(&message.body)) {
-        holder.onLoanGiven(from, given->loan, given->budget, given->grant, given->amount, now, actions, given->alone);
+        holder.onLoanGiven(
+            from, given->loan, given->budget, given->grant, given->amount, now, actions, given->holderOnly);
     } else if (const auto* const denied = std::get_if<SendLoanDenied>(&message.body)) {
         holder.onLoanDenied(from, denied->loan, denied->budget, denied->free, now, actions);
     } else if (const auto* const done = std::get_if<SendLoanDone>(&message.body)) {
@@ -262,19 +263,19 @@
     }
 }
 
-void World::tick(Node& node, MoneyActions& actions)
+void World::tick(Node& node, LedgerActions& actions)
 {
     ++node.ticks;
     node.now += 2s;
-    node.holder.onTick(node.now, node.surroundings, actions);
+    node.holder.onTick(node.now, node.environment, actions);
 }
 
-void World::emit(std::size_t index, MoneyActions actions)
+void World::emit(std::size_t index, LedgerActions actions)
 {
     Node& node = const_cast<Node&>(*nodes_.at(index));
-    for (MoneyAction& action : actions) {
+    for (LedgerAction& action : actions) {
         if (auto* const entry = std::get_if<AppendEntry>(&action)) {
-            MoneyActions more;
+            LedgerActions more;
             if (const auto effect = behaviour_->takenForRead(node, entry->entry)) {
                 node.holder.onEffect(Landed { node.id, node.sequence + 1 }, node.now, more);
                 node.holder.onEffect(*effect, node.now, more);
--- a/tests/ledger/ExploreWorld.h
+++ b/tests/ledger/ExploreWorld.h
@@ -106,7 +106,7 @@
     std::size_t position = 0;
     Holder holder;
     Witness witness;
-    Surroundings surroundings;
+    HolderEnvironment environment;
     Instant now {};
     std::vector<Item> outbox;
     std::uint64_t sequence = 0;
@@ -125,7 +125,7 @@
 public:
     virtual ~Behaviour() = default;
     /** @return What the witness's answer to a raise becomes. */
-    virtual MoneyActions onRaise(Node&, const SendRaise&, Incarnation, MoneyActions answer) const { return answer; }
+    virtual LedgerActions onRaise(Node&, const SendRaise&, Incarnation, LedgerActions answer) const { return answer; }
     /** @return Who is said to have acknowledged. */
     virtual Incarnation acknowledgedBy(const Node&, const SendCeilingsAcked&, Incarnation from) const { return from; }
     /** @return What the lender is told to have been billed. */
@@ -173,11 +173,11 @@
 private:
     [[nodiscard]] Node& change(std::size_t index);
     void append(const Item& item);
-    void request(Node& node, std::size_t index, MoneyActions& actions);
-    void read(Node& node, MoneyActions& actions);
-    void deliver(Node& node, const Message& message, MoneyActions& actions);
-    void tick(Node& node, MoneyActions& actions);
-    void emit(std::size_t index, MoneyActions actions);
+    void request(Node& node, std::size_t index, LedgerActions& actions);
+    void read(Node& node, LedgerActions& actions);
+    void deliver(Node& node, const Message& message, LedgerActions& actions);
+    void tick(Node& node, LedgerActions& actions);
+    void emit(std::size_t index, LedgerActions actions);
     void send(std::size_t from, Incarnation to, PeerBody body);
     void runQuiet();
     /** @return Whether the node holds more than its ceiling, or than the ceiling that the log's end has sealed. */
--- a/tests/ledger/FoldTest.cpp
+++ b/tests/ledger/FoldTest.cpp
@@ -110,7 +110,7 @@
     draw(bob, 1, 60);
     EXPECT_EQ(grant(alice, 1).amount, Tokens { 60 });
     EXPECT_EQ(grant(bob, 1).amount, Tokens { 40 });
-    EXPECT_EQ(last<DrawDecided>().shortBy, Tokens { 20 });
+    EXPECT_EQ(last<DrawDecided>().shortfall, Tokens { 20 });
     EXPECT_EQ(view().available(), Tokens {});
     EXPECT_EQ(count<Refused>(), 0U);
 }
@@ -120,7 +120,7 @@
     open(100);
     take(alice, Draw { grantOf(alice, 1), budget, Tokens { 150 }, Tokens { 101 }, {} });
     EXPECT_EQ(last<DrawDecided>().admitted, Tokens {});
-    EXPECT_EQ(last<DrawDecided>().shortBy, Tokens { 50 });
+    EXPECT_EQ(last<DrawDecided>().shortfall, Tokens { 50 });
     EXPECT_EQ(fold.grant(grantOf(alice, 1)), std::nullopt);
     draw(alice, 2, 0);
     EXPECT_EQ(fold.openGrants().size(), 0U);
--- a/tests/ledger/FundTest.cpp
+++ b/tests/ledger/FundTest.cpp
@@ -61,12 +61,12 @@
         {
             PolicySettings settings;
             settings.watermarks = Watermarks { 8, 10 };
-            settings.stockPercent = 50;
+            settings.preallocationPercent = 50;
             policy_ = makePolicy("grants", settings);
             situation_.bought = Tokens { 1'000'000 };
             situation_.available = Tokens { 1'000'000 };
             situation_.logReachable = true;
-            situation_.stocked = true;
+            situation_.preallocated = true;
             situation_.routers = 5;
         }
 
@@ -93,7 +93,7 @@
     // Cause: what a dead router held counts as spent, whatever it was held for.
     TEST_F(StockTest, GoesBackOnceDemandIsKnown)
     {
-        situation_.stocked = false;
+        situation_.preallocated = false;
         situation_.drawn = Tokens { 100'000 };
         situation_.free = Tokens { 100'000 };
         situation_.demand = 2'000;
@@ -119,7 +119,7 @@
     // Cause: a draw ahead took no more than a part of an equal share, though the watermarks bound it already.
     TEST_F(StockTest, ManySharersDontKeepABusyRouterFromItsWatermark)
     {
-        situation_.stocked = false;
+        situation_.preallocated = false;
         situation_.sharers = 81;
         situation_.drawn = Tokens { 1 };
         situation_.demand = 20'000;
@@ -132,7 +132,7 @@
 
     TEST_F(StockTest, WatermarksAreThoseThatAreSet)
     {
-        situation_.stocked = false;
+        situation_.preallocated = false;
         situation_.drawn = Tokens { 1 };
         situation_.demand = 1'000;
         situation_.largest = Tokens { 100 };
--- a/tests/ledger/HolderFixture.h
+++ b/tests/ledger/HolderFixture.h
@@ -14,7 +14,7 @@
 /** Alice's holder over the fixture's fold; her entries land when `land` is called. */
 class HolderFixture : public FoldFixture {
 protected:
-    HolderFixture() { surroundings.logReachable = true; }
+    HolderFixture() { environment.logReachable = true; }
 
     static Tokens tokens(std::int64_t count) { return Tokens { count }; }
 
@@ -38,7 +38,7 @@
         now += time;
         tick();
     }
-    void tick() { holder->onTick(now, surroundings, actions); }
+    void tick() { holder->onTick(now, environment, actions); }
 
     /** Lets all emitted entries land and be read back, and what they bring about as well. */
     void land()
@@ -87,7 +87,7 @@
     template <typename Kind> std::optional<Kind> lastOf() const
     {
         std::optional<Kind> found;
-        for (const MoneyAction& action : actions) {
+        for (const LedgerAction& action : actions) {
             if (const Kind* const kind = std::get_if<Kind>(&action))
                 found = *kind;
         }
@@ -98,7 +98,7 @@
     template <typename Kind> std::optional<Kind> lastEntry() const
     {
         std::optional<Kind> found;
-        for (const MoneyAction& action : actions) {
+        for (const LedgerAction& action : actions) {
             const auto* const entry = std::get_if<AppendEntry>(&action);
             if (const Kind* const kind = entry ? std::get_if<Kind>(&entry->entry) : nullptr)
                 found = *kind;
@@ -121,9 +121,9 @@
     HoldingView holding() const { return holder->holdings().empty() ? HoldingView {} : holder->holdings().front(); }
 
     Instant now {};
-    Surroundings surroundings;
+    HolderEnvironment environment;
     std::optional<Holder> holder;
-    MoneyActions actions;
+    LedgerActions actions;
     Shortage lastShortage;
 };
 
--- a/tests/ledger/HolderLoanTest.cpp
+++ b/tests/ledger/HolderLoanTest.cpp
@@ -18,8 +18,8 @@
     /** Alice, cut off from the log, asks Carol. */
     SendLoanAsk askCarol(std::int64_t amount)
     {
-        surroundings.logReachable = false;
-        surroundings.lenders = { carol };
+        environment.logReachable = false;
+        environment.lenders = { carol };
         tick();
         EXPECT_FALSE(reserve(1, amount));
         EXPECT_TRUE(lastShortage.pending);
@@ -71,7 +71,7 @@
     const Reservation reservation = have(1, 100);
     const SendLoanGiven given = lendTo(bob, 1, 50);
     holder->settle(reservation, tokens(100), actions);
-    surroundings.stopping = true;
+    environment.stopping = true;
     tick();
     holder->onLoanDone(bob, 1, tokens(50), now, actions);
     land();
@@ -116,7 +116,7 @@
     const std::optional<Reservation> reservation = reserve(1, 100);
     ASSERT_TRUE(reservation);
     EXPECT_EQ(reservation->grant, carols);
-    EXPECT_TRUE(holder->answersAlone(*reservation));
+    EXPECT_TRUE(holder->isHolderOnly(*reservation));
     actions.clear();
     pass(10s);
     EXPECT_FALSE(lastOf<SendLoanDone>());
@@ -125,7 +125,7 @@
     EXPECT_EQ(lastEntry<Bill>()->grant, carols);
     ASSERT_TRUE(lastOf<SendLoanDone>());
     EXPECT_EQ(lastOf<SendLoanDone>()->billed, tokens(60));
-    surroundings.lenders.clear();
+    environment.lenders.clear();
     tick();
     EXPECT_FALSE(reserve(2, 10));
     actions.clear();
@@ -156,8 +156,8 @@
 TEST_F(HolderLoanTest, AsksTheNextLenderWhenDenied)
 {
     start(1000);
-    surroundings.lenders = { carol, bob };
-    surroundings.logReachable = false;
+    environment.lenders = { carol, bob };
+    environment.logReachable = false;
     tick();
     EXPECT_FALSE(reserve(1, 100));
     EXPECT_EQ(lastOf<SendLoanAsk>()->to, carol);
@@ -176,8 +176,8 @@
 TEST_F(HolderLoanTest, GoesOnBorrowingAsLongAsLendersGive)
 {
     start(1000);
-    surroundings.lenders = { carol, bob };
-    surroundings.logReachable = false;
+    environment.lenders = { carol, bob };
+    environment.logReachable = false;
     tick();
     std::vector<Incarnation> asked;
     for (std::uint64_t key = 1; key <= 5; ++key) {
@@ -199,8 +199,8 @@
 TEST_F(HolderLoanTest, AsksAnotherBesideALenderThatIsSlow)
 {
     start(1000);
-    surroundings.lenders = { carol, bob };
-    surroundings.logReachable = false;
+    environment.lenders = { carol, bob };
+    environment.logReachable = false;
     tick();
     EXPECT_FALSE(reserve(1, 100));
     EXPECT_EQ(lastOf<SendLoanAsk>()->to, carol);
@@ -218,15 +218,15 @@
 // Cause: a promise not to close was waited for that nobody has to give.
 TEST_F(HolderLoanTest, LendsAndSpendsAtOnceWhereWitnessesOnlySeal)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     startSealOnly(1000);
     have(1, 100);
-    surroundings.logReachable = false;
+    environment.logReachable = false;
     tick();
     acknowledge();
-    EXPECT_FALSE(lendTo(carol, 7, 50).alone);
+    EXPECT_FALSE(lendTo(carol, 7, 50).holderOnly);
 
-    surroundings.lenders = { carol };
+    environment.lenders = { carol };
     tick();
     EXPECT_FALSE(reserve(2, 900));
     const auto ask = lastOf<SendLoanAsk>();
@@ -242,7 +242,7 @@
 {
     start(1000);
     const Reservation reservation = have(1, 320);
-    surroundings.logReachable = false;
+    environment.logReachable = false;
     tick();
     const Tokens left = holding().amount - holding().reserved;
     have(2, left.value() - 10);
@@ -274,8 +274,8 @@
 TEST_F(HolderLoanTest, LendersThatHadNothingAreNotWaitedFor)
 {
     start(1000);
-    surroundings.logReachable = false;
-    surroundings.lenders = { bob };
+    environment.logReachable = false;
+    environment.lenders = { bob };
     tick();
     EXPECT_FALSE(reserve(1, 100));
     const auto ask = lastOf<SendLoanAsk>();
--- a/tests/ledger/HolderTest.cpp
+++ b/tests/ledger/HolderTest.cpp
@@ -15,7 +15,7 @@
     EXPECT_TRUE(lastShortage.pending);
     EXPECT_FALSE(reserve(1, 100));
     land();
-    EXPECT_TRUE(lastOf<MoneyArrived>());
+    EXPECT_TRUE(lastOf<TokensAvailable>());
     EXPECT_TRUE(reserve(1, 100));
 }
 
@@ -31,7 +31,7 @@
 
 TEST_F(HolderTest, StaysBelowTheAcknowledgedCeiling)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(10000);
     EXPECT_FALSE(reserve(1, 100));
     land();
@@ -50,7 +50,7 @@
 // but the holder's own repeat would bring it again.
 TEST_F(HolderTest, RepeatsARaise)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
     land();
@@ -63,11 +63,11 @@
 // changed, the old witness's answer comes late. Cause: the old one's word no longer binds the seal.
 TEST_F(HolderTest, TakesNoRaiseOfAnOldWitness)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(1000);
     const Reservation reservation = have(1, 100);
     const Tokens ceiling = holding().ceiling;
-    surroundings.witness = carol;
+    environment.witness = carol;
     tick();
     pass(4s);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
@@ -85,11 +85,11 @@
 // Cause: the ceiling would stay where the dead witness left it.
 TEST_F(HolderTest, NamesAnotherWitnessWhenOneIsSilent)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
     land();
-    surroundings.witness.reset();
+    environment.witness.reset();
     pass(1100ms);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
     land();
@@ -102,7 +102,7 @@
 {
     start(10000);
     have(1, 100);
-    surroundings.witness = bob;
+    environment.witness = bob;
     tick();
     pass(4s);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
@@ -115,7 +115,7 @@
 
 TEST_F(HolderTest, SettlesAndClosesASealedGrant)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(1000);
     const Reservation reservation = have(1, 100);
     landAs(bob, Seal { reservation.grant, bob, holding().ceiling });
@@ -186,7 +186,7 @@
 {
     start(1000);
     const Reservation reservation = have(1, 100);
-    surroundings.stopping = true;
+    environment.stopping = true;
     tick();
     land();
     EXPECT_FALSE(holder->drained());
@@ -220,10 +220,10 @@
 
 TEST_F(HolderTest, AsksForTheWholeGrantWhileTheLogIsUnreachable)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(1000);
     const Reservation reservation = have(1, 100);
-    surroundings.logReachable = false;
+    environment.logReachable = false;
     pass(1s);
     ASSERT_TRUE(lastOf<SendRaise>());
     EXPECT_EQ(lastOf<SendRaise>()->ceilings.front().ceiling, holding().amount);
@@ -236,14 +236,14 @@
 TEST_F(HolderTest, ARefusedRequestIsNoDemandAndWaitsNoMore)
 {
     startSealOnly(10'000'000);
-    surroundings.logReachable = false;
+    environment.logReachable = false;
     tick();
     for (std::uint64_t key = 1; key <= 40; ++key) {
         EXPECT_FALSE(reserve(key, 10'000));
         holder->withdraw(budget, keyOf(key), now);
     }
     pass(std::chrono::milliseconds { 100 });
-    surroundings.logReachable = true;
+    environment.logReachable = true;
     tick();
     EXPECT_FALSE(lastEntry<Draw>());
     EXPECT_FALSE(reserve(41, 10'000));
@@ -288,7 +288,7 @@
     figures.witnessesClose = false;
     figures.watermarks = Watermarks { 8, 10 };
     start(10'000'000, "grants", figures);
-    surroundings.witness = bob;
+    environment.witness = bob;
     pass(std::chrono::seconds { 4 });
     std::uint64_t key = 0;
     int served = 0;
@@ -373,7 +373,7 @@
 // 10 requests of 440 tokens a second, of which 300 are billed, for two minutes: a draw must cover many requests.
 TEST_F(HolderTest, SteadyDemandDrawsAndRaisesSeldom)
 {
-    surroundings.witness = bob;
+    environment.witness = bob;
     start(10'000'000);
     constexpr std::uint64_t requests = 1200;
     std::size_t draws = 0;
--- a/tests/ledger/WitnessTest.cpp
+++ b/tests/ledger/WitnessTest.cpp
@@ -31,7 +31,7 @@
     }
 
     Witness witness { bob, fold };
-    MoneyActions actions;
+    LedgerActions actions;
 };
 
 TEST_F(WitnessTest, AcknowledgesOnlyWhatTheLogNamesItFor)
--- a/tests/node/CoreFixture.h
+++ b/tests/node/CoreFixture.h
@@ -59,7 +59,7 @@
 
     /** @return The VMs that the author names as keepers of its copies beyond the failure domain, the first one first.
      */
-    [[nodiscard]] std::vector<std::size_t> keepersOf(std::size_t author) const
+    [[nodiscard]] std::vector<std::size_t> replicasOf(std::size_t author) const
     {
         const auto lines = fleet.linesOf(author, "copies");
         std::istringstream named(lines.empty() ? "" : textOf(lines.back(), "keepers"));
@@ -74,7 +74,7 @@
         return keepers;
     }
 
-    [[nodiscard]] std::size_t keeperOf(std::size_t author) const { return keepersOf(author).at(0); }
+    [[nodiscard]] std::size_t keeperOf(std::size_t author) const { return replicasOf(author).at(0); }
 
     /** Lets the first of these VMs answer while the log is out, and kills all as soon as the caller has its answer.
      */
--- a/tests/node/FakeFleet.cpp
+++ b/tests/node/FakeFleet.cpp
@@ -35,8 +35,8 @@
           "    domain: b\n";
 }
 
-FakeFleet::FakeFleet(std::string moneyPolicy, std::uint32_t splitWays)
-    : moneyPolicy_(std::move(moneyPolicy))
+FakeFleet::FakeFleet(std::string holdingPolicy, std::uint32_t splitWays)
+    : moneyPolicy_(std::move(holdingPolicy))
     , splitWays_(splitWays)
 {
 }
@@ -79,7 +79,7 @@
     settings.domain = place.domain;
     settings.region = Region { "r" };
     settings.seed = place.incarnation.value();
-    settings.moneyPolicy = moneyPolicy_;
+    settings.holdingPolicy = moneyPolicy_;
     settings.splitWays = splitWays_;
     for (const Vm& other : vms_) {
         settings.seeds.push_back(other.address);
@@ -89,7 +89,7 @@
     place.core->start(now_, actions);
     const std::uint64_t life = place.life;
     later(tickPeriod, [this, vm, life] { tick(vm, life); });
-    carryOut(vm, actions);
+    execute(vm, actions);
 }
 
 void FakeFleet::crash(std::size_t vm)
@@ -212,7 +212,7 @@
     }
     Actions actions;
     place.core->handle(event, now_, actions);
-    carryOut(vm, actions);
+    execute(vm, actions);
 }
 
 void FakeFleet::tick(std::size_t vm, std::uint64_t life)
@@ -224,7 +224,7 @@
     later(tickPeriod, [this, vm, life] { tick(vm, life); });
 }
 
-void FakeFleet::carryOut(std::size_t vm, Actions& actions)
+void FakeFleet::execute(std::size_t vm, Actions& actions)
 {
     const std::uint64_t life = vms_[vm].life;
     for (Action& action : actions) {
--- a/tests/node/FakeFleet.h
+++ b/tests/node/FakeFleet.h
@@ -66,8 +66,8 @@
     static constexpr Duration messageDelay = std::chrono::milliseconds(1);
     static constexpr Duration logDelay = std::chrono::milliseconds(4);
 
-    /** @param moneyPolicy As CoreSettings::moneyPolicy. @param splitWays As CoreSettings::splitWays. */
-    explicit FakeFleet(std::string moneyPolicy = "grants", std::uint32_t splitWays = 4);
+    /** @param holdingPolicy As CoreSettings::holdingPolicy. @param splitWays As CoreSettings::splitWays. */
+    explicit FakeFleet(std::string holdingPolicy = "grants", std::uint32_t splitWays = 4);
 
     /** @return Index of the new VM. */
     std::size_t addVm(const std::string& domain);
@@ -156,7 +156,7 @@
     void later(Duration delay, std::function<void()> work);
     void startCore(std::size_t vm);
     void deliver(std::size_t vm, std::uint64_t life, const Event& event);
-    void carryOut(std::size_t vm, Actions& actions);
+    void execute(std::size_t vm, Actions& actions);
     void on(std::size_t vm, const Dispatch& dispatch);
     void on(std::size_t vm, const Append& append);
     void on(std::size_t vm, const Follow& follow);
--- a/tests/node/GatewayBillTest.cpp
+++ b/tests/node/GatewayBillTest.cpp
@@ -12,8 +12,8 @@
     TEST_F(GatewayTest, AbandonedRequestIsCancelledAndBilledForWhatWasDelivered)
     {
         const CallId call = world.arrive("/stream/x", 100, 70);
-        const PassOn order = ordered(call);
-        world.tell(PassageAbandoned { call, 2 });
+        const ProxyDispatch order = ordered(call);
+        world.tell(ProxyRequestAbandoned { call, 2 });
         EXPECT_TRUE(world.cancelled(order));
         world.run(seconds(2));
         EXPECT_EQ(world.billed(), Tokens { 100 + 2 * 7 });
@@ -26,12 +26,12 @@
     TEST_F(GatewayTest, CallerThatLeavesBeforeTheFirstEventPaysNothing)
     {
         const CallId call = world.arrive("/stream/x", 100, 70);
-        const PassOn order = ordered(call);
-        world.tell(PassageAbandoned { call, 0 });
+        const ProxyDispatch order = ordered(call);
+        world.tell(ProxyRequestAbandoned { call, 0 });
         EXPECT_TRUE(world.cancelled(order));
         // An event that the backend server had made meanwhile reached nobody.
         world.progress(order, 1);
-        world.end(order, PassageEnd::Completed, 200, 1);
+        world.end(order, ProxyAttemptEnd::Completed, 200, 1);
         world.run(seconds(2));
         EXPECT_EQ(world.billed(), Tokens {});
         ASSERT_EQ(world.lines("caller_gone").size(), 1U);
@@ -40,10 +40,10 @@
     TEST_F(GatewayTest, RequestThatFailsOrBreaksOffBeforeTheFirstEventCostsNothing)
     {
         const CallId failed = world.arrive("/stream/x", 100, 70);
-        world.end(ordered(failed), PassageEnd::Failed, 500);
+        world.end(ordered(failed), ProxyAttemptEnd::Failed, 500);
         EXPECT_TRUE(world.failurePassedOn(failed));
         const CallId broken = world.arrive("/stream/x", 100, 70);
-        world.end(ordered(broken), PassageEnd::Broken);
+        world.end(ordered(broken), ProxyAttemptEnd::Broken);
         expectRefused(broken, 502, "backend_lost");
         const CallId late = world.arrive("/stream/x", 100, 70, milliseconds(300));
         (void)ordered(late);
@@ -64,7 +64,7 @@
         world.run(seconds(1));
         ASSERT_TRUE(world.replyOf(call));
         EXPECT_EQ(world.billed(), Tokens {}) << "nothing is billed before the count is known";
-        world.tell(PassageAbandoned { call, 3 });
+        world.tell(ProxyRequestAbandoned { call, 3 });
         world.run(seconds(1));
         EXPECT_EQ(world.billed(), Tokens { 100 + 3 * 7 });
         world.run(seconds(3));
@@ -77,11 +77,11 @@
     {
         world.reportsCuts = false;
         const CallId call = world.arrive("/stream/x", 100, 700, milliseconds(500));
-        const PassOn order = ordered(call);
+        const ProxyDispatch order = ordered(call);
         world.progress(order, 1);
         world.run(seconds(1));
-        world.end(order, PassageEnd::Completed, 200, 5);
-        world.tell(PassageAbandoned { call, 5 });
+        world.end(order, ProxyAttemptEnd::Completed, 200, 5);
+        world.tell(ProxyRequestAbandoned { call, 5 });
         world.run(seconds(3));
         EXPECT_EQ(world.billed(), Tokens { 100 + 5 * 7 });
     }
@@ -98,10 +98,10 @@
     TEST_F(GatewayTest, PromptOfAResumedStreamCountsOnce)
     {
         const CallId call = world.arrive("/resumable/x", 100, 70);
-        world.end(ordered(call), PassageEnd::Broken);
-        const PassOn second = ordered(call);
+        world.end(ordered(call), ProxyAttemptEnd::Broken);
+        const ProxyDispatch second = ordered(call);
         world.progress(second, 1);
-        world.end(second, PassageEnd::Broken, 200, 3);
+        world.end(second, ProxyAttemptEnd::Broken, 200, 3);
         // As many servers as the route allows may have run it.
         EXPECT_FALSE(world.orderOf(call));
         world.run(seconds(2));
@@ -116,7 +116,7 @@
     {
         world.publish([](fleet::FleetConfig& config) { config.routes[0].targets = { { ServiceName("model"), 1 } }; });
         const CallId call = world.arrive("/plain/x", 100, 70);
-        world.end(ordered(call), PassageEnd::Completed);
+        world.end(ordered(call), ProxyAttemptEnd::Completed);
         world.run(seconds(2));
         EXPECT_EQ(world.billed(), Tokens { 100 + 70 });
     }
--- a/tests/node/GatewayFixture.h
+++ b/tests/node/GatewayFixture.h
@@ -17,11 +17,11 @@
         ASSERT_TRUE(world.ready());
     }
 
-    [[nodiscard]] PassOn ordered(CallId call)
+    [[nodiscard]] ProxyDispatch ordered(CallId call)
     {
         const auto order = world.orderOf(call);
         EXPECT_TRUE(order.has_value());
-        return order.value_or(PassOn {});
+        return order.value_or(ProxyDispatch {});
     }
 
     void expectRefused(CallId call, int status, const std::string& reason)
--- a/tests/node/GatewayQuarantineTest.cpp
+++ b/tests/node/GatewayQuarantineTest.cpp
@@ -17,7 +17,7 @@
         void crash(int servers)
         {
             for (int number = 0; number < servers; ++number) {
-                const PassOn order = ordered(world.arrive(path));
+                const ProxyDispatch order = ordered(world.arrive(path));
                 world.lose(order);
                 world.run(seconds(2));
                 world.putServer(order.backend.value(), "app", "a", fleet::ServerState::Ready, ++lives_);
@@ -56,7 +56,7 @@
     {
         for (std::uint64_t number = 1; number <= 3; ++number) {
             const quarantine::Report report { { Incarnation { 5 }, number }, { GatewayWorld::fingerprintOf(path) },
-                quarantine::ServerLife { BackendId("x" + std::to_string(number)), 0 } };
+                quarantine::BackendInstance { BackendId("x" + std::to_string(number)), 0 } };
             world.tell(PeerReceived { Incarnation { 5 }, PeerAddress { "127.0.0.1:7500" },
                 Records { StreamName { "crash-reports" }, Offset {}, { quarantine::encode(report) } } });
         }
@@ -88,7 +88,7 @@
             world.lose(ordered(world.arrive(path)));
             world.run(milliseconds(40));
             for (const char* next : { "/order/a", "/order/b", "/order/c" }) {
-                world.end(ordered(world.arrive(next)), PassageEnd::Completed);
+                world.end(ordered(world.arrive(next)), ProxyAttemptEnd::Completed);
             }
             world.run(seconds(1));
         }
@@ -125,7 +125,7 @@
     TEST_F(GatewayQuarantineTest, RequestThatIsAnsweredIsNotConfined)
     {
         crash(2);
-        world.end(ordered(world.arrive(path)), PassageEnd::Completed);
+        world.end(ordered(world.arrive(path)), ProxyAttemptEnd::Completed);
         crash(2);
         EXPECT_TRUE(world.orderOf(world.arrive(path)));
     }
--- a/tests/node/GatewayTest.cpp
+++ b/tests/node/GatewayTest.cpp
@@ -22,10 +22,10 @@
 
     TEST_F(GatewayTest, PassesARequestOnAndBillsPromptAndEvents)
     {
-        const PassOn order = ordered(world.arrive("/stream/x", 100, 70));
+        const ProxyDispatch order = ordered(world.arrive("/stream/x", 100, 70));
         EXPECT_EQ(order.account, AccountId("club"));
         world.progress(order, 1);
-        world.end(order, PassageEnd::Completed, 200, 4);
+        world.end(order, ProxyAttemptEnd::Completed, 200, 4);
         world.run(seconds(2));
         EXPECT_EQ(world.billed(), Tokens { 100 + 4 * 7 });
     }
@@ -42,21 +42,21 @@
     TEST_F(GatewayTest, WhatIsWaitedForIsReadBackAtOnce)
     {
         world.run(seconds(5));
-        const int before = world.hastenedReads();
+        const int before = world.expeditedReads();
         world.run(seconds(5));
-        EXPECT_EQ(world.hastenedReads(), before) << "nobody waits for anything";
+        EXPECT_EQ(world.expeditedReads(), before) << "nobody waits for anything";
         (void)world.arrive("/stream/x", 600'000, 100);
         world.run(milliseconds(40));
-        EXPECT_GT(world.hastenedReads(), before) << "more than the stock: it was drawn for";
+        EXPECT_GT(world.expeditedReads(), before) << "more than the stock: it was drawn for";
     }
 
     TEST_F(GatewayTest, AWitnessReadsAGrantThatItIsAskedAboutAtOnce)
     {
-        const int before = world.hastenedReads();
+        const int before = world.expeditedReads();
         const Incarnation holder { 78 };
         world.tell(PeerReceived { holder, PeerAddress { "127.0.0.1:7500" },
             RaiseCeilings { { { GrantId { holder, 1 }, Tokens { 1'000 }, false } } } });
-        EXPECT_EQ(world.hastenedReads(), before + 1);
+        EXPECT_EQ(world.expeditedReads(), before + 1);
     }
 
     // Symptom: callers of a new route are told 404 for half a minute by one VM, long after the others serve it.
@@ -84,7 +84,7 @@
     TEST_F(GatewayTest, WhatRunsOnceIsNeverSentAgainOnceItMayHaveRun)
     {
         const CallId call = world.arrive("/order/x");
-        world.end(ordered(call), PassageEnd::Broken, 0);
+        world.end(ordered(call), ProxyAttemptEnd::Broken, 0);
         EXPECT_FALSE(world.orderOf(call));
         expectRefused(call, 502, "backend_lost");
         EXPECT_EQ(world.replyOf(call)->outcome, Outcome::Unknown);
@@ -95,21 +95,22 @@
     // Cause: that was taken for a run.
     TEST_F(GatewayTest, WhatWasNotStartedGoesToAnotherServer)
     {
-        for (const PassageEnd end : { PassageEnd::Refused, PassageEnd::Unreachable, PassageEnd::Misdirected }) {
+        for (const ProxyAttemptEnd end :
+            { ProxyAttemptEnd::Refused, ProxyAttemptEnd::Unreachable, ProxyAttemptEnd::Misdirected }) {
             const CallId call = world.arrive("/order/x");
-            const PassOn first = ordered(call);
+            const ProxyDispatch first = ordered(call);
             world.end(first, end, 503);
             EXPECT_NE(ordered(call).backend, first.backend);
-            world.end(ordered(call), PassageEnd::Completed);
+            world.end(ordered(call), ProxyAttemptEnd::Completed);
         }
     }
 
     TEST_F(GatewayTest, FailureOfARepeatableRequestIsPassedOnOnlyWhenNobodyElseMayRunIt)
     {
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), PassageEnd::Failed, 500);
+        world.end(ordered(call), ProxyAttemptEnd::Failed, 500);
         EXPECT_FALSE(world.failurePassedOn(call));
-        world.end(ordered(call), PassageEnd::Failed, 500);
+        world.end(ordered(call), ProxyAttemptEnd::Failed, 500);
         EXPECT_TRUE(world.failurePassedOn(call));
         EXPECT_FALSE(world.replyOf(call));
     }
@@ -123,7 +124,7 @@
         world.dropServer("p-3");
         world.run(seconds(3));
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), PassageEnd::Broken, 0);
+        world.end(ordered(call), ProxyAttemptEnd::Broken, 0);
         ASSERT_TRUE(world.replyOf(call));
         EXPECT_EQ(world.replyOf(call)->status, 502);
         EXPECT_EQ(world.replyOf(call)->outcome, Outcome::Unknown);
@@ -132,22 +133,22 @@
     TEST_F(GatewayTest, StreamIsTakenUpElsewhereOnlyWhereItMayBe)
     {
         const CallId resumable = world.arrive("/resumable/x", 10, 70);
-        const PassOn first = ordered(resumable);
+        const ProxyDispatch first = ordered(resumable);
         world.progress(first, 3);
-        world.end(first, PassageEnd::Broken, 200, 3);
+        world.end(first, ProxyAttemptEnd::Broken, 200, 3);
         EXPECT_TRUE(ordered(resumable).resume);
         EXPECT_NE(ordered(resumable).backend, first.backend);
         const CallId once = world.arrive("/stream/x", 10, 70);
-        const PassOn only = ordered(once);
+        const ProxyDispatch only = ordered(once);
         world.progress(only, 3);
-        world.end(only, PassageEnd::Broken, 200, 3);
+        world.end(only, ProxyAttemptEnd::Broken, 200, 3);
         EXPECT_FALSE(world.orderOf(once));
         EXPECT_TRUE(world.replyOf(once));
     }
 
     TEST_F(GatewayTest, TimeThatARequestWaitedToBeLookedAtCounts)
     {
-        PassageArrived late;
+        ProxyRequestArrived late;
         late.call = CallId { 900 };
         late.facts.id = "late";
         late.facts.host = "desk";
@@ -163,7 +164,7 @@
     TEST_F(GatewayTest, RouteTimeEndsWithAFinalAnswer)
     {
         const CallId call = world.arrive("/plain/x", 0, 0, seconds(60));
-        const PassOn order = ordered(call);
+        const ProxyDispatch order = ordered(call);
         world.run(seconds(11));
         EXPECT_TRUE(world.cancelled(order));
         expectRefused(call, 504, "deadline_passed");
@@ -191,7 +192,7 @@
         for (int request = 0; request < 10; ++request) {
             const CallId call = world.arrive("/plain/x");
             EXPECT_EQ(ordered(call).backend, BackendId("p-3"));
-            world.end(ordered(call), PassageEnd::Completed);
+            world.end(ordered(call), ProxyAttemptEnd::Completed);
         }
     }
 
@@ -237,7 +238,7 @@
         world.run(milliseconds(100));
         const CallId repeatable = world.arrive("/plain/x");
         const CallId once = world.arrive("/order/x");
-        const PassOn order = ordered(once);
+        const ProxyDispatch order = ordered(once);
         world.run(milliseconds(300));
         world.putServer("p-9", "app", "a", fleet::ServerState::Ready, 1000);
         world.run(milliseconds(300));
@@ -329,7 +330,7 @@
         for (int request = 0; request < 20; ++request) {
             const CallId call = world.arrive("/stream/x", 10'000, 70);
             ASSERT_TRUE(world.orderOf(call)) << request;
-            world.end(*world.orderOf(call), PassageEnd::Completed, 200, 10);
+            world.end(*world.orderOf(call), ProxyAttemptEnd::Completed, 200, 10);
         }
         EXPECT_TRUE(world.ready());
         world.logReachable = true;
@@ -374,7 +375,7 @@
         world.tell(StopRequested {});
         EXPECT_FALSE(world.ready());
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), PassageEnd::Completed);
+        world.end(ordered(call), ProxyAttemptEnd::Completed);
         world.run(seconds(3));
         expectRefused(world.arrive("/plain/x"), 503, "stopping");
         world.run(seconds(2));
@@ -395,7 +396,7 @@
         world.run(seconds(4));
         EXPECT_FALSE(world.stopReady()) << "the stream is still there";
         EXPECT_EQ(world.budget().held, cost);
-        world.end(ordered(call), PassageEnd::Completed);
+        world.end(ordered(call), ProxyAttemptEnd::Completed);
         world.run(seconds(1));
         EXPECT_TRUE(world.stopReady());
         EXPECT_EQ(world.budget().held, world.budget().billed);
--- a/tests/node/GatewayWorld.cpp
+++ b/tests/node/GatewayWorld.cpp
@@ -29,7 +29,7 @@
         made.sharesPrefixes = answer == fleet::AnswerKind::Events;
         made.timeLimit = std::chrono::seconds(10);
         made.objective = std::chrono::milliseconds(200);
-        made.mostServers = 2;
+        made.maxServers = 2;
         made.targets = { { ServiceName(answer == fleet::AnswerKind::Events ? "model" : "app"), 1 } };
         return made;
     }
@@ -71,16 +71,16 @@
     settings.region = Region { "r" };
     settings.routingPolicy = "rendezvous";
     settings.fleetCodec = codec_;
-    settings.ledger.checkpoints = CheckpointPlace::Apart;
+    settings.ledger.checkpoints = CheckpointPlace::SeparateStream;
     settings.ledger.batchPeriod = std::chrono::milliseconds(100);
     settings.watermarks = ledger::Watermarks { 8, 10 };
-    settings.stockPercent = 50;
+    settings.preallocationPercent = 50;
     settings.retries = { 0.2, 50, std::chrono::seconds(10) };
     settings.stopAcceptance = std::chrono::seconds(2);
     core_ = std::make_unique<Core>(settings);
     Actions actions;
     core_->start(now_, actions);
-    carryOut(actions);
+    execute(actions);
 }
 
 void GatewayWorld::settle()
@@ -136,7 +136,7 @@
 {
     Actions actions;
     core_->handle(event, now_, actions);
-    carryOut(actions);
+    execute(actions);
 }
 
 void GatewayWorld::run(Duration time)
@@ -178,7 +178,7 @@
 CallId GatewayWorld::arrive(const std::string& path, std::int64_t promptTokens, std::int64_t answerTokens,
     Duration deadline, const std::string& key)
 {
-    PassageArrived arrived;
+    ProxyRequestArrived arrived;
     arrived.call = CallId { ++lastCall_ };
     arrived.facts.id = "r" + std::to_string(lastCall_);
     arrived.facts.host = "desk";
@@ -194,17 +194,17 @@
     return arrived.call;
 }
 
-void GatewayWorld::end(const PassOn& order, PassageEnd how, int status, std::uint64_t events)
+void GatewayWorld::end(const ProxyDispatch& order, ProxyAttemptEnd how, int status, std::uint64_t events)
 {
     orders_.erase(order.call);
     given_[order.call] = std::max(given_[order.call], events);
-    tell(PassageEnded { order.attempt, how, status, events, "played" });
+    tell(ProxyAttemptEnded { order.attempt, how, status, events, "played" });
 }
 
-void GatewayWorld::lose(const PassOn& order)
+void GatewayWorld::lose(const ProxyDispatch& order)
 {
     orders_.erase(order.call);
-    tell(PassageEnded { order.attempt, PassageEnd::Broken, 0, 0, "connection lost", true });
+    tell(ProxyAttemptEnded { order.attempt, ProxyAttemptEnd::Broken, 0, 0, "connection lost", true });
 }
 
 quarantine::Fingerprint GatewayWorld::fingerprintOf(const std::string& path)
@@ -214,7 +214,7 @@
 
 void GatewayWorld::reportLost(const std::vector<std::string>& paths, const std::string& server, Incarnation reporter)
 {
-    quarantine::Report report { { reporter, ++lastReport_ }, {}, quarantine::ServerLife { BackendId(server), 0 } };
+    quarantine::Report report { { reporter, ++lastReport_ }, {}, quarantine::BackendInstance { BackendId(server), 0 } };
     for (const std::string& path : paths) {
         report.requests.push_back(fingerprintOf(path));
     }
@@ -222,13 +222,13 @@
         { { Offset { ++keyedOffset_ }, quarantine::keyOf(report.id), quarantine::encode(report) } }, false });
 }
 
-void GatewayWorld::progress(const PassOn& order, std::uint64_t events)
+void GatewayWorld::progress(const ProxyDispatch& order, std::uint64_t events)
 {
     given_[order.call] = std::max(given_[order.call], events);
-    tell(PassageProgress { order.attempt, events });
+    tell(ProxyAttemptProgress { order.attempt, events });
 }
 
-std::optional<PassOn> GatewayWorld::orderOf(CallId call) const
+std::optional<ProxyDispatch> GatewayWorld::orderOf(CallId call) const
 {
     const auto found = orders_.find(call);
     return found == orders_.end() ? std::nullopt : std::optional(found->second);
@@ -266,17 +266,17 @@
     return found;
 }
 
-void GatewayWorld::carryOut(Actions& actions)
+void GatewayWorld::execute(Actions& actions)
 {
     for (const Action& action : actions) {
-        if (const auto* order = std::get_if<PassOn>(&action)) {
+        if (const auto* order = std::get_if<ProxyDispatch>(&action)) {
             orders_[order->call] = *order;
             given_.try_emplace(order->call, 0);
         } else if (const auto* reply = std::get_if<Reply>(&action)) {
             EXPECT_FALSE(replies_.contains(reply->call)) << "a caller gets one final answer";
             replies_[reply->call] = *reply;
             reportCut(reply->call);
-        } else if (const auto* failure = std::get_if<PassFailureOn>(&action)) {
+        } else if (const auto* failure = std::get_if<ProxyFailureReply>(&action)) {
             failures_.insert(failure->call);
             reportCut(failure->call);
         } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
@@ -287,7 +287,7 @@
             on(*append);
         } else if (const auto* follow = std::get_if<Follow>(&action)) {
             on(*follow);
-        } else if (const auto* soon = std::get_if<ReadSoon>(&action)) {
+        } else if (const auto* soon = std::get_if<ExpediteRead>(&action)) {
             hastenedReads_ += soon->stream == ledgerName ? 1 : 0;
         } else if (const auto* line = std::get_if<LogLine>(&action)) {
             lines_.push_back(*line);
@@ -299,7 +299,7 @@
 void GatewayWorld::reportCut(CallId call)
 {
     if (const auto given = given_.find(call); reportsCuts && given != given_.end()) {
-        pending_.push_back(PassageAbandoned { call, given->second });
+        pending_.push_back(ProxyRequestAbandoned { call, given->second });
     }
 }
 
--- a/tests/node/GatewayWorld.h
+++ b/tests/node/GatewayWorld.h
@@ -43,21 +43,21 @@
 
     CallId arrive(const std::string& path, std::int64_t promptTokens = 0, std::int64_t answerTokens = 0,
         Duration deadline = std::chrono::seconds(5), const std::string& key = "k");
-    void end(const PassOn& order, PassageEnd how, int status = 200, std::uint64_t events = 0);
+    void end(const ProxyDispatch& order, ProxyAttemptEnd how, int status = 200, std::uint64_t events = 0);
     /** The connection of the request's backend server ends, as when the server crashes. */
-    void lose(const PassOn& order);
-    void progress(const PassOn& order, std::uint64_t events);
+    void lose(const ProxyDispatch& order);
+    void progress(const ProxyDispatch& order, std::uint64_t events);
     void tell(const Event& event);
 
     /** @return What was ordered for the call and not ended since; nothing when nothing is. */
-    [[nodiscard]] std::optional<PassOn> orderOf(CallId call) const;
+    [[nodiscard]] std::optional<ProxyDispatch> orderOf(CallId call) const;
     [[nodiscard]] std::optional<Reply> replyOf(CallId call) const;
     [[nodiscard]] bool failurePassedOn(CallId call) const { return failures_.contains(call); }
-    [[nodiscard]] bool cancelled(const PassOn& order) const { return cancelled_.contains(order.attempt); }
+    [[nodiscard]] bool cancelled(const ProxyDispatch& order) const { return cancelled_.contains(order.attempt); }
     [[nodiscard]] bool ready() const noexcept { return ready_; }
     [[nodiscard]] bool stopReady() const noexcept { return stopReady_; }
     /** @return How often the ledger was to be read without a pause. */
-    [[nodiscard]] int hastenedReads() const noexcept { return hastenedReads_; }
+    [[nodiscard]] int expeditedReads() const noexcept { return hastenedReads_; }
     /** @return The account's budget as the log has it. */
     [[nodiscard]] ledger::BudgetView budget() const;
     [[nodiscard]] Tokens billed() const { return budget().billed; }
@@ -92,7 +92,7 @@
 
 private:
     void putConfig(fleet::FleetConfig config);
-    void carryOut(Actions& actions);
+    void execute(Actions& actions);
     void on(const Append& append);
     void on(const Follow& follow);
     void writeReport(const Append& append);
@@ -114,7 +114,7 @@
 
     std::map<std::string, std::string> reports_;
     std::uint64_t lastReport_ = 0;
-    std::map<CallId, PassOn> orders_;
+    std::map<CallId, ProxyDispatch> orders_;
     std::map<CallId, std::uint64_t> given_;
     std::map<CallId, Reply> replies_;
     std::set<CallId> failures_;
--- a/tests/node/PassageBillTest.cpp
+++ b/tests/node/ProxyBillTest.cpp
@@ -75,14 +75,14 @@
                 passEvent();
                 break;
             case Step::Completes:
-                endAttempt(PassageEnd::Completed);
+                endAttempt(ProxyAttemptEnd::Completed);
                 known_ = false;
                 break;
             case Step::Breaks:
-                endAttempt(PassageEnd::Broken);
+                endAttempt(ProxyAttemptEnd::Broken);
                 break;
             case Step::CallerLeaves:
-                reports_.emplace_back(PassageAbandoned { call_, events_ });
+                reports_.emplace_back(ProxyRequestAbandoned { call_, events_ });
                 known_ = false;
                 break;
             case Step::DeadlinePasses:
@@ -129,13 +129,13 @@
             given_ += known_ ? 1 : 0;
             if (!reported_) {
                 reported_ = true;
-                reports_.emplace_back(PassageProgress { attempt_->attempt, events_ });
+                reports_.emplace_back(ProxyAttemptProgress { attempt_->attempt, events_ });
             }
         }
 
-        void endAttempt(PassageEnd how)
+        void endAttempt(ProxyAttemptEnd how)
         {
-            reports_.emplace_back(PassageEnded { attempt_->attempt, how, 200, events_, "explored" });
+            reports_.emplace_back(ProxyAttemptEnded { attempt_->attempt, how, 200, events_, "explored" });
             attempt_.reset();
         }
 
@@ -152,19 +152,19 @@
                     attempt_ = order;
                 } else {
                     reports_.emplace_back(
-                        PassageEnded { order->attempt, PassageEnd::Unreachable, 0, 0, "the caller is gone" });
+                        ProxyAttemptEnded { order->attempt, ProxyAttemptEnd::Unreachable, 0, 0, "the caller is gone" });
                 }
             }
             if (known_ && (world_.replyOf(call_) || world_.failurePassedOn(call_))) {
                 known_ = false;
-                reports_.emplace_back(PassageAbandoned { call_, events_ });
+                reports_.emplace_back(ProxyRequestAbandoned { call_, events_ });
             }
         }
 
         GatewayWorld world_;
         CallId call_;
         std::deque<node::Event> reports_;
-        std::optional<PassOn> attempt_;
+        std::optional<ProxyDispatch> attempt_;
         AttemptId taken_;
         bool reported_ = false;
         bool known_ = true;
@@ -222,7 +222,7 @@
     // Events: every order of a stream's events, its end or break, its caller's leaving, its deadline, and of what the
     // transport and the core hear of each other, up to a number of steps.
     // Cause: a bill made from half of what is known, or a reservation let go before the last event.
-    TEST(PassageBill, IsWhatWasGivenInEverySchedule)
+    TEST(ProxyBill, IsWhatWasGivenInEverySchedule)
     {
         constexpr std::size_t depth = 6;
         Exploration exploration(depth);
--- a/tests/node/CopyRouteTest.cpp
+++ b/tests/node/ReplicaLinkTest.cpp
@@ -1,4 +1,4 @@
-#include "node/CopyRoute.h"
+#include "node/ReplicaLink.h"
 
 #include <gtest/gtest.h>
 
@@ -10,12 +10,12 @@
     const Incarnation keeper { 7 };
     constexpr Duration period = milliseconds(20);
 
-    class CopyRouteTest : public ::testing::Test {
+    class ReplicaLinkTest : public ::testing::Test {
     protected:
-        CopyRouteTest()
+        ReplicaLinkTest()
             : outbox_(Incarnation { 1 })
         {
-            route_.leadTo(keeper);
+            route_.setTarget(keeper);
             (void)outbox_.add(ledger::CloseGrant {});
             (void)route_.due(outbox_, period, now_);
         }
@@ -30,11 +30,11 @@
         }
 
         ledger::Outbox outbox_;
-        CopyRoute route_;
+        ReplicaLink route_;
         Instant now_ { std::chrono::seconds(1) };
     };
 
-    TEST_F(CopyRouteTest, KeeperThatOwesAnAnswerTooLongIsOutOfTouch)
+    TEST_F(ReplicaLinkTest, KeeperThatOwesAnAnswerTooLongIsOutOfTouch)
     {
         pass(milliseconds(80));
         EXPECT_TRUE(route_.inTouch(now_));
@@ -45,7 +45,7 @@
     }
 
     // Bills told with copies in one domain only: an author that was paused took its keeper for silent.
-    TEST_F(CopyRouteTest, OwnPauseIsNotTheKeepersSilence)
+    TEST_F(ReplicaLinkTest, OwnPauseIsNotTheKeepersSilence)
     {
         now_ += std::chrono::seconds(2);
         EXPECT_TRUE(route_.inTouch(now_)) << "asked before the acknowledgements that wait are read";
--- a/tests/placement/LeaseWorld.h
+++ b/tests/placement/LeaseWorld.h
@@ -73,7 +73,7 @@
     {
         std::vector<std::size_t> result;
         for (std::size_t index = 0; index < routers.size(); ++index) {
-            if (routers[index].lease->mayOrder(now)) {
+            if (routers[index].lease->mayIssueOrders(now)) {
                 result.push_back(index);
             }
         }
@@ -103,7 +103,7 @@
         for (const LeaseChange& change : router.lease->takeChanges()) {
             router.changes.push_back(change);
         }
-        if (router.lease->mayOrder(now)) {
+        if (router.lease->mayIssueOrders(now)) {
             router.orders.emplace_back(router.lease->fencing(), now);
         }
     }
--- a/tests/placement/OrderLeaseTest.cpp
+++ b/tests/placement/OrderLeaseTest.cpp
@@ -35,10 +35,10 @@
         const std::size_t other = 1 - frozen;
         const std::uint64_t oldFencing = world.routers[frozen].lease->fencing();
         world.routers[frozen].frozen = true;
-        ASSERT_TRUE(world.runUntil([&] { return world.routers[other].lease->mayOrder(world.now); }));
+        ASSERT_TRUE(world.runUntil([&] { return world.routers[other].lease->mayIssueOrders(world.now); }));
         EXPECT_GT(world.routers[other].lease->fencing(), oldFencing);
         // Before it reads a single record.
-        EXPECT_FALSE(world.routers[frozen].lease->mayOrder(world.now));
+        EXPECT_FALSE(world.routers[frozen].lease->mayIssueOrders(world.now));
         const std::size_t ordered = world.routers[frozen].orders.size();
         world.routers[frozen].frozen = false;
         world.run(seconds(30));
@@ -156,9 +156,9 @@
         OrderLease& lease = *world.routers[0].lease;
         const std::uint64_t fencing = lease.fencing();
         lease.onStale(fencing);
-        EXPECT_TRUE(lease.mayOrder(world.now)) << "its own number is not stale";
+        EXPECT_TRUE(lease.mayIssueOrders(world.now)) << "its own number is not stale";
         lease.onStale(fencing + 1);
-        EXPECT_FALSE(lease.mayOrder(world.now));
+        EXPECT_FALSE(lease.mayIssueOrders(world.now));
         world.run(seconds(7));
         EXPECT_TRUE(world.holders().empty());
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -201,19 +201,19 @@
             for (std::uint64_t offset = 0; offset < claims.size(); ++offset) {
                 (void)whole.apply(Offset { offset }, claims[offset]);
             }
-            ASSERT_TRUE(whole.tenure());
-            EXPECT_EQ(whole.tenure()->holder, claims.back().holder);
-            EXPECT_EQ(whole.tenure()->fencing, claims.back().fencing);
+            ASSERT_TRUE(whole.leaseTerm());
+            EXPECT_EQ(whole.leaseTerm()->holder, claims.back().holder);
+            EXPECT_EQ(whole.leaseTerm()->fencing, claims.back().fencing);
             for (std::uint64_t from = 1; from < claims.size(); ++from) {
                 LeaseFold part;
                 part.restart(Offset { from });
                 for (std::uint64_t offset = from; offset < claims.size(); ++offset) {
                     (void)part.apply(Offset { offset }, claims[offset]);
                 }
-                ASSERT_TRUE(part.tenure()) << "from " << from;
-                EXPECT_EQ(part.tenure()->holder, whole.tenure()->holder) << "from " << from;
-                EXPECT_EQ(part.tenure()->fencing, whole.tenure()->fencing) << "from " << from;
-                EXPECT_EQ(part.tenure()->claim, whole.tenure()->claim) << "from " << from;
+                ASSERT_TRUE(part.leaseTerm()) << "from " << from;
+                EXPECT_EQ(part.leaseTerm()->holder, whole.leaseTerm()->holder) << "from " << from;
+                EXPECT_EQ(part.leaseTerm()->fencing, whole.leaseTerm()->fencing) << "from " << from;
+                EXPECT_EQ(part.leaseTerm()->claim, whole.leaseTerm()->claim) << "from " << from;
             }
         }
     }
@@ -232,7 +232,7 @@
         const auto claim = lease.due(true, now + seconds(10));
         ASSERT_TRUE(claim);
         lease.onRecord(Offset { 40 }, *claim, now + seconds(10));
-        EXPECT_TRUE(lease.mayOrder(now + seconds(11)));
+        EXPECT_TRUE(lease.mayIssueOrders(now + seconds(11)));
         EXPECT_EQ(lease.fencing(), 41U);
     }
 
--- a/tests/platform/ConfigCodecTest.cpp
+++ b/tests/platform/ConfigCodecTest.cpp
@@ -44,7 +44,7 @@
         EXPECT_EQ(stream.answer, fleet::AnswerKind::Events);
         EXPECT_TRUE(stream.resumable && stream.idempotent && stream.sharesPrefixes && !stream.open);
         EXPECT_EQ(stream.pauseObjective, std::chrono::milliseconds(250));
-        EXPECT_EQ(stream.mostServers, 2U);
+        EXPECT_EQ(stream.maxServers, 2U);
         const fleet::Route& split = config->routes.at(1);
         EXPECT_FALSE(split.idempotent);
         EXPECT_TRUE(split.open);
--- a/tests/platform/HttpDialectTest.cpp
+++ b/tests/platform/HttpDialectTest.cpp
@@ -20,8 +20,8 @@
     TEST(HttpDialectTest, ReadsWhatRoutingAndMoneyNeed)
     {
         const auto parsed = HttpDialect().facts(validRequest());
-        ASSERT_TRUE(std::holds_alternative<node::PassageFacts>(parsed));
-        const auto& facts = std::get<node::PassageFacts>(parsed);
+        ASSERT_TRUE(std::holds_alternative<node::ProxyRequestInfo>(parsed));
+        const auto& facts = std::get<node::ProxyRequestInfo>(parsed);
         EXPECT_EQ(facts.id, "9c41d07be2a35f68");
         EXPECT_EQ(facts.path, "/lohu930/2f");
         EXPECT_EQ(facts.key, "secret");
@@ -82,8 +82,8 @@
         RequestHead request = validRequest();
         request.fields[5].value = "9223372036854775807";
         const auto parsed = HttpDialect().facts(request);
-        ASSERT_TRUE(std::holds_alternative<node::PassageFacts>(parsed));
-        EXPECT_GT(*std::get<node::PassageFacts>(parsed).deadline, std::chrono::hours(1));
+        ASSERT_TRUE(std::holds_alternative<node::ProxyRequestInfo>(parsed));
+        EXPECT_GT(*std::get<node::ProxyRequestInfo>(parsed).deadline, std::chrono::hours(1));
     }
 
     // Symptom: an engine sees a caller's key, or takes a caller's word for whom it works.
@@ -94,7 +94,7 @@
         RequestHead request = validRequest();
         request.fields.push_back({ "tenant", "somebody" });
         request.fields.push_back({ "Kv-From", "10.0.0.1:1/h" });
-        node::PassOn order;
+        node::ProxyDispatch order;
         order.backend = BackendId("i-7f3a91c2");
         order.account = AccountId("hule930");
         order.urgency = 1;
--- a/tests/quarantine/QuarantineTest.cpp
+++ b/tests/quarantine/QuarantineTest.cpp
@@ -18,7 +18,8 @@
         void lose(std::vector<Fingerprint> requests, const std::string& server, std::uint64_t reporter = 1)
         {
             quarantine.onReport(
-                { { Incarnation(reporter), ++number }, std::move(requests), ServerLife { BackendId(server), 0 } }, now);
+                { { Incarnation(reporter), ++number }, std::move(requests), BackendInstance { BackendId(server), 0 } },
+                now);
         }
 
         void answer(const Fingerprint& answered) { quarantine.onAnswered(answered, now); }
@@ -33,12 +34,12 @@
     {
         lose({ request(1), request(2) }, "a", 1);
         lose({ request(1), request(3) }, "b", 2);
-        EXPECT_FALSE(quarantine.confinement(request(1)));
+        EXPECT_FALSE(quarantine.quarantineEntry(request(1)));
         lose({ request(1), request(4) }, "c", 3);
-        ASSERT_TRUE(quarantine.confinement(request(1)));
-        EXPECT_EQ(quarantine.confinement(request(1))->serversEnded, 3U);
+        ASSERT_TRUE(quarantine.quarantineEntry(request(1)));
+        EXPECT_EQ(quarantine.quarantineEntry(request(1))->serversEnded, 3U);
         for (const std::uint64_t innocent : { 2, 3, 4 }) {
-            EXPECT_FALSE(quarantine.confinement(request(innocent)));
+            EXPECT_FALSE(quarantine.quarantineEntry(request(innocent)));
         }
     }
 
@@ -49,11 +50,11 @@
             lose({ request(1) }, "a", reporter);
         }
         EXPECT_EQ(quarantine.serversEnded(request(1)), 1U);
-        const Report repeated { { Incarnation(9), 1 }, { request(1) }, ServerLife { BackendId("b"), 0 } };
+        const Report repeated { { Incarnation(9), 1 }, { request(1) }, BackendInstance { BackendId("b"), 0 } };
         quarantine.onReport(repeated, now);
         quarantine.onReport(repeated, now);
         EXPECT_EQ(quarantine.serversEnded(request(1)), 2U);
-        quarantine.onReport({ { Incarnation(9), 2 }, { request(1) }, ServerLife { BackendId("b"), 7 } }, now);
+        quarantine.onReport({ { Incarnation(9), 2 }, { request(1) }, BackendInstance { BackendId("b"), 7 } }, now);
         EXPECT_EQ(quarantine.serversEnded(request(1)), 3U)
             << "a server that started again under its id is another life";
     }
@@ -64,8 +65,8 @@
         for (const char* server : { "a", "b", "c" }) {
             lose({ request(1, "club") }, server);
         }
-        EXPECT_TRUE(quarantine.confinement(request(1, "club")));
-        EXPECT_FALSE(quarantine.confinement(request(1, "firm")));
+        EXPECT_TRUE(quarantine.quarantineEntry(request(1, "club")));
+        EXPECT_FALSE(quarantine.quarantineEntry(request(1, "firm")));
     }
 
     // Guards against: what many callers ask for is refused after servers ended for another cause.
@@ -87,7 +88,7 @@
             lose({ request(1) }, server);
         }
         quarantine.onReport({ { Incarnation(8), 1 }, { request(1) }, std::nullopt }, now);
-        EXPECT_FALSE(quarantine.confinement(request(1)));
+        EXPECT_FALSE(quarantine.quarantineEntry(request(1)));
     }
 
     // Guards against: connections that were reset count as servers that ended.
@@ -98,7 +99,7 @@
         }
         quarantine.onWithdrawn({ Incarnation(1), 2 });
         EXPECT_EQ(quarantine.serversEnded(request(1)), 2U);
-        EXPECT_FALSE(quarantine.confinement(request(1)));
+        EXPECT_FALSE(quarantine.quarantineEntry(request(1)));
     }
 
     TEST_F(QuarantineTest, ReportsExpireAndTheConfinementSaysWhen)
@@ -107,12 +108,12 @@
         now += seconds(10);
         lose({ request(1) }, "b");
         lose({ request(1) }, "c");
-        ASSERT_TRUE(quarantine.confinement(request(1)));
-        EXPECT_EQ(quarantine.confinement(request(1))->until, now - seconds(10) + hours(1));
+        ASSERT_TRUE(quarantine.quarantineEntry(request(1)));
+        EXPECT_EQ(quarantine.quarantineEntry(request(1))->until, now - seconds(10) + hours(1));
         EXPECT_TRUE(quarantine.expire(now).empty());
         now += hours(1) - seconds(10);
         EXPECT_EQ(quarantine.expire(now).size(), 1U);
-        EXPECT_FALSE(quarantine.confinement(request(1)));
+        EXPECT_FALSE(quarantine.quarantineEntry(request(1)));
     }
 
     // Guards against: a flood of requests that were lost once makes a true culprit forgotten.
@@ -122,11 +123,11 @@
         for (const char* server : { "a", "b", "c" }) {
             lose({ request(1) }, server);
         }
-        for (std::uint64_t other = 2; other < 2 * limits.mostReports; ++other) {
+        for (std::uint64_t other = 2; other < 2 * limits.maxReports; ++other) {
             lose({ request(other, "flooder") }, "x" + std::to_string(other));
         }
-        EXPECT_LE(quarantine.suspects(), limits.mostSuspects);
-        EXPECT_TRUE(quarantine.confinement(request(1)));
+        EXPECT_LE(quarantine.suspects(), limits.maxSuspects);
+        EXPECT_TRUE(quarantine.quarantineEntry(request(1)));
     }
 
 } // namespace
--- a/tests/quarantine/ReportOutboxTest.cpp
+++ b/tests/quarantine/ReportOutboxTest.cpp
@@ -21,25 +21,25 @@
         }
 
         ReportOutbox outbox { self };
-        ServerLife life { BackendId("i-1"), 0 };
+        BackendInstance instance { BackendId("i-1"), 0 };
         Instant now { seconds(100) };
     };
 
     TEST_F(ReportOutboxTest, RequestsLostTogetherShareAReport)
     {
-        (void)outbox.onLost(request(1), life, now);
+        (void)outbox.onRequestLost(request(1), instance, now);
         EXPECT_FALSE(dueAfter(milliseconds(20)));
-        EXPECT_EQ(outbox.onLost(request(2), life, now).requests.size(), 2U);
+        EXPECT_EQ(outbox.onRequestLost(request(2), instance, now).requests.size(), 2U);
         const auto order = dueAfter(milliseconds(100));
         ASSERT_TRUE(order && order->report);
         EXPECT_EQ(order->report->requests, (std::vector { request(1), request(2) }));
-        EXPECT_EQ(order->report->lostWith, life);
+        EXPECT_EQ(order->report->failedInstance, instance);
     }
 
     // Guards against: a report whose append was lost is never known to the other routers.
     TEST_F(ReportOutboxTest, WritesAgainUntilItWasReadBack)
     {
-        const ReportId id = outbox.onLost(request(1), life, now).id;
+        const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
         EXPECT_TRUE(dueAfter(milliseconds(100)));
         EXPECT_FALSE(dueAfter(milliseconds(100)));
         EXPECT_TRUE(dueAfter(seconds(1)));
@@ -51,26 +51,26 @@
     // Guards against: reset connections are told as ends of servers that go on answering.
     TEST_F(ReportOutboxTest, ServerThatRanAfterwardsWasNotLost)
     {
-        const ReportId id = outbox.onLost(request(1), life, now).id;
-        EXPECT_TRUE(outbox.onAlive(life, now).empty()) << "it may have ended right after";
-        EXPECT_EQ(outbox.onAlive(life, now + milliseconds(1)), std::vector { id });
+        const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
+        EXPECT_TRUE(outbox.onInstanceAlive(instance, now).empty()) << "it may have ended right after";
+        EXPECT_EQ(outbox.onInstanceAlive(instance, now + milliseconds(1)), std::vector { id });
         EXPECT_FALSE(dueAfter(seconds(5))) << "it was never written";
     }
 
     // Guards against: the answers of a server that started again within seconds take its former life's end back.
     TEST_F(ReportOutboxTest, AnswerLongAfterTheLossProvesNothing)
     {
-        const ReportId id = outbox.onLost(request(1), life, now).id;
-        EXPECT_TRUE(outbox.onAlive(life, now + seconds(1), milliseconds(500)).empty());
-        EXPECT_EQ(outbox.onAlive(life, now + milliseconds(200), milliseconds(500)), std::vector { id });
+        const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
+        EXPECT_TRUE(outbox.onInstanceAlive(instance, now + seconds(1), milliseconds(500)).empty());
+        EXPECT_EQ(outbox.onInstanceAlive(instance, now + milliseconds(200), milliseconds(500)), std::vector { id });
     }
 
     // Guards against: an append that comes late brings a report back that was taken back.
     TEST_F(ReportOutboxTest, ReportThatLandsAfterItWasTakenBackIsDroppedAgain)
     {
-        const ReportId id = outbox.onLost(request(1), life, now).id;
+        const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
         ASSERT_TRUE(dueAfter(milliseconds(100)));
-        EXPECT_EQ(outbox.onAlive(life, now), std::vector { id });
+        EXPECT_EQ(outbox.onInstanceAlive(instance, now), std::vector { id });
         auto order = dueAfter(milliseconds(10));
         ASSERT_TRUE(order);
         EXPECT_FALSE(order->report);
@@ -85,7 +85,7 @@
 
     TEST_F(ReportOutboxTest, WritesAnothersReportIfItIsNotReadSoon)
     {
-        const Report other { { Incarnation(7), 1 }, { request(1) }, life };
+        const Report other { { Incarnation(7), 1 }, { request(1) }, instance };
         outbox.adopt(other, now + seconds(1));
         EXPECT_FALSE(dueAfter(milliseconds(500)));
         const auto order = dueAfter(milliseconds(600));
@@ -97,12 +97,13 @@
     TEST(ReportRecord, IsReadAsItWasWritten)
     {
         const Report report { { Incarnation(0xFEDC), 18 },
-            { { AccountId("club"), { 1, 2 } }, { AccountId(""), { 3, 4 } } }, ServerLife { BackendId("i-1"), 17 } };
+            { { AccountId("club"), { 1, 2 } }, { AccountId(""), { 3, 4 } } },
+            BackendInstance { BackendId("i-1"), 17 } };
         const auto read = decode(encode(report));
         ASSERT_TRUE(read);
         EXPECT_EQ(read->id, report.id);
         EXPECT_EQ(read->requests, report.requests);
-        EXPECT_EQ(read->lostWith, report.lostWith);
+        EXPECT_EQ(read->failedInstance, report.failedInstance);
         EXPECT_EQ(idOf(keyOf(report.id)), report.id);
         EXPECT_FALSE(idOf("vm"));
         EXPECT_FALSE(decode("\xff\xff"));
--- a/tests/routing/BackendTableTest.cpp
+++ b/tests/routing/BackendTableTest.cpp
@@ -59,8 +59,8 @@
     TEST_F(BackendTableTest, ANewLifeUnderTheSameIdStartsAnew)
     {
         const ServiceName service = drafts;
-        const auto tell = [&](std::uint64_t life, std::uint32_t slots) {
-            table_.setBackends(service, { { engine(1), home, slots, life } }, now_);
+        const auto tell = [&](std::uint64_t instance, std::uint32_t slots) {
+            table_.setBackends(service, { { engine(1), home, slots, instance } }, now_);
         };
         tell(100, 4);
         const AttemptId lost = dispatch(1);
--- a/tests/routing/FairQueueTest.cpp
+++ b/tests/routing/FairQueueTest.cpp
@@ -156,9 +156,9 @@
     TEST_F(AdmissionTest, SendsOnWhatCanGoAndKeepsTheOrderOfWhatWaits)
     {
         Admission admission { 10 };
-        EXPECT_EQ(admission.admit(call("a"), 5ms, now_).verdict, Verdict::Dispatch);
-        EXPECT_EQ(admission.admit(call("a"), std::nullopt, now_).verdict, Verdict::Wait);
-        EXPECT_EQ(admission.admit(call("b"), 5ms, now_).verdict, Verdict::Wait) << "others wait already";
+        EXPECT_EQ(admission.admit(call("a"), 5ms, now_).verdict, AdmissionVerdict::Dispatch);
+        EXPECT_EQ(admission.admit(call("a"), std::nullopt, now_).verdict, AdmissionVerdict::Wait);
+        EXPECT_EQ(admission.admit(call("b"), 5ms, now_).verdict, AdmissionVerdict::Wait) << "others wait already";
     }
 
     TEST_F(AdmissionTest, RefusesAtOnceWhatCannotMakeItsDeadline)
@@ -172,7 +172,7 @@
         EXPECT_GT(behind.retryAfter, 2s);
         EXPECT_LT(behind.retryAfter, 4s);
         const auto other = admission.admit(call("b", 100, 1, Priority::Normal, 2s), std::nullopt, now_);
-        EXPECT_EQ(other.verdict, Verdict::Wait) << "its own line is empty";
+        EXPECT_EQ(other.verdict, AdmissionVerdict::Wait) << "its own line is empty";
     }
 
     // Symptom: the first request after a quiet hour is refused for its deadline.
@@ -185,8 +185,8 @@
         while (admission.queue().pop(now_)) { }
         now_ += std::chrono::hours(1);
         for (int i = 0; i < 5; ++i) {
-            EXPECT_EQ(
-                admission.admit(call("a", 100, 1, Priority::Normal, 2s), std::nullopt, now_).verdict, Verdict::Wait);
+            EXPECT_EQ(admission.admit(call("a", 100, 1, Priority::Normal, 2s), std::nullopt, now_).verdict,
+                AdmissionVerdict::Wait);
         }
     }
 
--- a/tests/routing/RendezvousSelectorTest.cpp
+++ b/tests/routing/RendezvousSelectorTest.cpp
@@ -105,7 +105,7 @@
         const AttemptId reading = reads(first);
         const Choice second = selector->choose(about(5), table_, now_).value();
         EXPECT_NE(second.backend, first);
-        EXPECT_TRUE(second.readsShared);
+        EXPECT_TRUE(second.prefillsSharedPart);
         EXPECT_EQ(choose(*selector, 5), second.backend) << "always the same second home, so that it has the prefix";
         const AttemptId there = reads(second.backend);
         EXPECT_EQ(choose(*selector, 5), first) << "where both have as much to read, the shared part decides";
--- a/tests/scenario/Fleet.cpp
+++ b/tests/scenario/Fleet.cpp
@@ -93,7 +93,7 @@
     members_[vm.name].isRouter = true;
 }
 
-void Fleet::startSurroundings()
+void Fleet::startEnvironment()
 {
     for (const auto& name : order_) {
         if (!member(name).isRouter)
--- a/tests/scenario/Fleet.h
+++ b/tests/scenario/Fleet.h
@@ -29,7 +29,7 @@
     ~Fleet();
 
     /** Starts everything but the routers. */
-    void startSurroundings();
+    void startEnvironment();
 
     /** Starts one process anew and waits until it serves. */
     void start(const std::string& name);
--- a/tests/scenario/World.cpp
+++ b/tests/scenario/World.cpp
@@ -30,7 +30,7 @@
     if (fleet_)
         throw BrokenScript("there is a fleet already");
     fleet_ = std::make_unique<Fleet>(planFleet(fields, findBasePort(seed_)), programs_, folder_, seed_);
-    fleet_->startSurroundings();
+    fleet_->startEnvironment();
 }
 
 std::pair<int, std::string> World::runCtl(const std::vector<std::string>& arguments)
--- a/tests/standins/log/LogService.cpp
+++ b/tests/standins/log/LogService.cpp
@@ -13,7 +13,7 @@
 namespace internal {
 
     constexpr std::uint64_t longestWaitMs = 60000;
-    constexpr std::uint64_t mostRecords = 1000;
+    constexpr std::uint64_t maxRecords = 1000;
     constexpr std::uint64_t mostReadBytes = 4U << 20U;
     const std::string protobufType = "application/x-protobuf";
     const std::string streamsPrefix = "/streams/";
@@ -174,7 +174,7 @@
 {
     ++counters_.reads;
     const auto from = exchange.number("from", 0);
-    const auto max = std::min(exchange.number("max", internal::mostRecords), internal::mostRecords);
+    const auto max = std::min(exchange.number("max", internal::maxRecords), internal::maxRecords);
     const auto wait = std::min(exchange.number("wait_ms", 0), internal::longestWaitMs);
     const auto deadline = Clock::now() + std::chrono::milliseconds(wait);
     while (from >= stream.end() && Clock::now() < deadline && !exchange.isClosed()) {
--- a/tests/transport/DecisionLoopTest.cpp
+++ b/tests/transport/DecisionLoopTest.cpp
@@ -40,7 +40,7 @@
 
     class RecordingSink : public ActionSink {
     public:
-        void carryOut(node::Action&& action) override
+        void execute(node::Action&& action) override
         {
             const std::lock_guard lock(mutex_);
             if (const auto* reply = std::get_if<node::OperatorReply>(&action)) {
--- a/tests/transport/StreamServerTest.cpp
+++ b/tests/transport/StreamServerTest.cpp
@@ -170,7 +170,7 @@
     engine.write(streamHead() + line(arrived.request.key, attemptText(1), 0, "a"));
     static_cast<void>(client.readUntil(R"("index":0})"));
     client.close();
-    EXPECT_EQ(nextEvent<node::CallerGone>(decisions).call, arrived.call);
+    EXPECT_EQ(nextEvent<node::CallerDisconnected>(decisions).call, arrived.call);
     order(node::CancelAttempt { AttemptId(1) });
     EXPECT_TRUE(engine.closes());
 }
