--- a/include/swiftlift/quarantine/Quarantine.h
+++ b/include/swiftlift/quarantine/Quarantine.h
@@ -14,88 +14,99 @@
 
 namespace swiftlift::quarantine {
 
-/** Bounds of what a router remembers of requests under which backend servers ended. */
+/** @brief Bounds of what one router remembers about requests that were in progress when backend servers ended. */
 struct QuarantineLimits {
-    /** Backend servers that may end under a request before it is sent to no more. */
+    /** A request is quarantined once this many backend server instances have ended while they ran it. */
     std::size_t maxServersEnded = 3;
-    /** How long a report counts. */
+    /** How long a report counts after it was received. */
     Duration lifetime = std::chrono::hours(1);
-    /** An answer given so lately shows that a request is harmless, whatever ended beside it. */
+    /** While its last answer is younger than this, a request is taken to be harmless: new loss reports don't count. */
     Duration answerLifetime = std::chrono::seconds(30);
-    /** Requests under suspicion; past that, the one under which the fewest servers ended is forgotten. */
+    /** Maximum number of suspects; beyond it, the suspect with the fewest ended instances is evicted. */
     std::size_t maxSuspects = 4096;
-    /** Answered requests that are remembered. */
+    /** Maximum number of answered requests that are remembered; beyond it, the oldest answer is evicted. */
     std::size_t maxAnswered = 4096;
-    /** Reports that are remembered; past that, the oldest that names no request lost with several servers goes. */
+    /** Maximum number of stored reports; beyond it, the oldest report is evicted that names no request lost with
+     * several instances. */
     std::size_t maxReports = 4096;
 };
 
-/** Why a request is sent to no backend server, and until when. */
+/** @brief Why a request is sent to no backend server, and until when. */
 struct QuarantineEntry {
+    /** Backend server instances that ended while they ran the request. */
     std::size_t serversEnded = 0;
+    /** When enough reports have expired for the request to be sent again. */
     Instant until {};
 };
 
 /**
  * @brief Finds the requests that crash the backend servers that run them.
  *
- * A server that ends takes all its requests with it, and most of them had no part in it. A request is told from its
- * company by coming again: it is confined once several lives of servers have ended under it and none has answered it.
- * Fed with the reports of all routers, so that it doesn't matter at which of them a request comes in.
+ * When a backend server ends, all requests that it runs are lost, and most of them did not cause the end. The request
+ * that did is recognised by its retries: a request is quarantined once several server instances have ended while they
+ * ran it and none has answered it. The reports of all routers are collected here, so the routers at which the retries
+ * arrive make no difference.
  */
 class Quarantine {
 public:
     explicit Quarantine(QuarantineLimits limits = {});
 
-    /** Takes a report in; of a known one, the requests that it did not name before. */
+    /** @brief Stores a report; if a report with this id is stored already, adds the requests that it did not name yet.
+     */
     void onReport(const Report& report, Instant now);
-    /** The report holds no more: it was wrong, or is too old. */
+    /** @brief Removes a report that was wrong or has expired, and the suspicion that rests on it. */
     void onWithdrawn(const ReportId& id);
-    /** The request was answered here: what was reported of it before holds no more. */
+    /** @brief Records that this router got an answer to the request: earlier loss reports about it count no more. */
     void onAnswered(const Fingerprint& request, Instant now);
 
-    /** @return Why the request must not be sent; nothing: it may. */
+    /** @return Why the request must not be sent; nothing if it may be sent. */
     [[nodiscard]] std::optional<QuarantineEntry> quarantineEntry(const Fingerprint& request) const;
-    /** @return Lives of backend servers that ended under the request, as far as is known. */
+    /** @return Number of backend server instances known to have ended while they ran the request. */
     [[nodiscard]] std::size_t serversEnded(const Fingerprint& request) const;
-    /** @return True when the request was answered here a moment ago. */
+    /** @return True if this router got an answer to the request within the last `answerLifetime`. */
     [[nodiscard]] bool answeredRecently(const Fingerprint& request, Instant now) const;
 
+    /** @return True if a report with this id is stored. */
     [[nodiscard]] bool knows(const ReportId& id) const { return reports_.contains(id); }
+    /** @return Number of requests with at least one loss report that counts. */
     [[nodiscard]] std::size_t suspects() const noexcept { return suspects_.size(); }
-    /** Withdraws what has become too old. @return What was withdrawn. */
+    /**
+     * @brief Removes the reports older than `lifetime`.
+     * @return Ids of the removed reports.
+     */
     std::vector<ReportId> expire(Instant now);
 
 private:
-    /** That one life of a server ended under a request. */
-    struct Ended {
+    /** @brief The reports that one backend server instance ended while it ran one request. */
+    struct InstanceReports {
         std::set<ReportId> reports;
         Instant lastReport {};
     };
 
-    /** What is known against one request. */
+    /** @brief A request that was lost with at least one backend server instance. */
     struct Suspect {
-        std::map<BackendInstance, Ended> ended;
+        std::map<BackendInstance, InstanceReports> endedInstances;
         Instant lastReport {};
     };
 
-    struct KnownReport {
+    struct StoredReport {
         Report report;
-        Instant knownSince {};
+        Instant receivedAt {};
     };
 
-    void accuse(const Fingerprint& request, const Report& report, Instant now);
-    void acquit(const Fingerprint& request);
-    void forgetOneSuspect();
-    void forgetOneReport();
-    /** @return True when a request of it stands under more suspicion than by one server. */
-    [[nodiscard]] bool weighs(const Report& report) const;
+    void addSuspicion(const Fingerprint& request, const Report& report, Instant now);
+    void clearSuspicion(const Fingerprint& request);
+    void evictSuspect();
+    void evictReport();
+    /** @return True if the report names a request that was lost with more than one backend server instance. */
+    [[nodiscard]] bool namesRepeatSuspect(const Report& report) const;
 
     QuarantineLimits limits_;
     std::map<Fingerprint, Suspect> suspects_;
-    std::map<ReportId, KnownReport> reports_;
-    /** In the order in which they came to be known; withdrawn ones may be among them. */
-    std::deque<ReportId> order_;
+    std::map<ReportId, StoredReport> reports_;
+    /** Report ids in order of arrival, from the oldest; ids of withdrawn reports may remain in it. */
+    std::deque<ReportId> arrivalOrder_;
+    /** When each request was answered last. */
     std::map<Fingerprint, Instant> answered_;
     std::deque<std::pair<Instant, Fingerprint>> answeredOrder_;
 };
--- a/include/swiftlift/quarantine/Report.h
+++ b/include/swiftlift/quarantine/Report.h
@@ -11,7 +11,7 @@
 
 namespace swiftlift::quarantine {
 
-/** A request as it is recognised when it comes again: who asks, and what for. */
+/** @brief Identifies a request and its retries: the client account and a digest of the content. */
 struct Fingerprint {
     AccountId account;
     ContentDigest content;
@@ -19,39 +19,45 @@
     [[nodiscard]] auto operator<=>(const Fingerprint&) const = default;
 };
 
-/** One life of a backend server, from its start to its end. */
+/** @brief One run of a backend server, from its start to its end. */
 struct BackendInstance {
     BackendId server;
-    /** As it registered; 0 where each life has an id of its own. */
+    /** Start time that the server registered; 0 where every instance has a server id of its own. */
     std::uint64_t startedAt = 0;
 
     [[nodiscard]] auto operator<=>(const BackendInstance&) const = default;
 };
 
-/** Names a report for good. */
+/** @brief Identifies a report uniquely among the reports of all routers. */
 struct ReportId {
     Incarnation reporter;
-    /** The reporter's count of its reports, from 1. */
+    /** Number that the reporter gave the report, counting from 1. */
     std::uint64_t number = 0;
 
     [[nodiscard]] auto operator<=>(const ReportId&) const = default;
 };
 
-/** One router's word on requests. Never changed once it is written, so repeats of it are harmless. */
+/**
+ * @brief States that requests were lost with a backend server instance, or that a request was answered.
+ *
+ * A report is not changed after it was written to the log, so writing or reading it several times is harmless.
+ */
 struct Report {
     ReportId id;
     std::vector<Fingerprint> requests;
-    /** The requests were lost with it; nothing: they were answered, and earlier reports on them hold no more. */
+    /** The instance with which the requests were lost; nothing if the requests were answered, which makes earlier loss
+     * reports about them void. */
     std::optional<BackendInstance> failedInstance;
 };
 
-/** @return The report's key in its keyed stream. */
+/** @return The report's key in the keyed stream of reports. */
 [[nodiscard]] std::string keyOf(const ReportId& id);
-/** @return The id that the key names; nothing when it names none. */
+/** @return The report id that the key stands for; nothing if the key is malformed. */
 [[nodiscard]] std::optional<ReportId> idOf(std::string_view key);
 
+/** @return The serialized report. */
 [[nodiscard]] std::string encode(const Report& report);
-/** @return The report; nothing when it can't be read or names no router. */
+/** @return The report; nothing if the record is malformed or names no reporter. */
 [[nodiscard]] std::optional<Report> decode(std::string_view record);
 
 } // namespace swiftlift::quarantine
--- a/include/swiftlift/quarantine/ReportOutbox.h
+++ b/include/swiftlift/quarantine/ReportOutbox.h
@@ -14,94 +14,124 @@
 
 namespace swiftlift::quarantine {
 
-/** A report to be written to the log, or to be dropped from it. */
+/** @brief An instruction to write a report to the log, or to drop it from the log. */
 struct ReportOrder {
     ReportId id;
-    /** Nothing: it is dropped. */
+    /** The report to write; nothing if the report with this id is to be dropped. */
     std::optional<Report> report;
-    /** It has not been written before. */
+    /** True if this router orders the write of this report for the first time. */
     bool first = true;
 };
 
 /**
- * @brief One router's own reports, until they have been read back from the log.
+ * @brief Keeps the reports of one router until they have been read back from the log.
  *
- * The requests that are lost with one life of a server at about the same time share a report. What was not read back is
- * written again: a report never changes, so writing it twice does no harm.
+ * Requests that are lost with the same backend server instance at about the same time share a report. A report that was
+ * not read back is written again; it never changes once written, so writing it twice is harmless.
  */
 class ReportOutbox {
 public:
+    /** @param self This router's incarnation: the reporter in the ids of its reports. */
     explicit ReportOutbox(Incarnation self);
 
-    /** @return What to report of the request, as far as it is gathered yet. */
+    /**
+     * @brief Adds the request to the report about the instance that still gathers requests, or begins such a report.
+     * @return The report with the requests gathered so far.
+     */
     [[nodiscard]] Report onRequestLost(const Fingerprint& request, const BackendInstance& instance, Instant now);
-    /** @return The report that acquits the request. */
+    /**
+     * @brief Queues a report that the request was answered.
+     * @return That report.
+     */
     [[nodiscard]] Report onAnswered(const Fingerprint& request, Instant now);
     /**
-     * The server's life did not end when its requests were lost.
-     * @param at When it still ran.
-     * @param longest Reports of losses longer before that are left alone.
-     * @return Own reports that were wrong; they are dropped.
+     * @brief Drops this router's loss reports about an instance that was seen to run after the loss.
+     * @param instance The backend server instance.
+     * @param at When the instance still ran.
+     * @param maxTimeSinceLoss Longest time from a loss to `at` for the report to be dropped; reports of earlier losses
+     * stay.
+     * @return Ids of the dropped reports.
      */
     [[nodiscard]] std::vector<ReportId> onInstanceAlive(
-        const BackendInstance& instance, Instant at, Duration longest = Duration::max());
-    /** Writes another router's report as well, unless it is read before. */
+        const BackendInstance& instance, Instant at, Duration maxTimeSinceLoss = Duration::max());
+    /**
+     * @brief Queues a write of another router's report, which is cancelled if the report is read from the log before.
+     * @param report The other router's report.
+     * @param at When to write the report.
+     */
     void adopt(const Report& report, Instant at);
-    /** Drops the report from the log, if nobody else has by then. */
+    /**
+     * @brief Queues the removal of a report from the log, unless another router has removed the report by then.
+     * @param id The report.
+     * @param at When to remove the report.
+     */
     void drop(const ReportId& id, Instant at);
-    /** @param present False: the log has dropped it. */
+    /**
+     * @brief Processes what was read from the log about a report, and cancels the pending write that it confirms.
+     * @param id The report.
+     * @param present True if the log holds the report, false if the log has dropped it.
+     * @param now The current time.
+     */
     void onRead(const ReportId& id, bool present, Instant now);
 
     /**
-     * @param spacing Least time between two writes.
-     * @return What is to be written now; nothing: not yet.
+     * @param spacing Minimum time between two writes.
+     * @param now The current time.
+     * @return The next report to write or drop; nothing if none is due yet.
      */
     [[nodiscard]] std::optional<ReportOrder> due(Duration spacing, Instant now);
 
-    [[nodiscard]] std::size_t unread() const noexcept { return pending_.size(); }
+    /** @return Number of writes and drops that have not been read back from the log. */
+    [[nodiscard]] std::size_t unread() const noexcept { return pendingWrites_.size(); }
 
 private:
-    /** A server's requests break within some tens of milliseconds, as the router comes to read their connections. */
+    /** How long a report takes in requests. The requests of a server that ended fail within some tens of milliseconds,
+     * the time in which the router reads all their connections. */
     static constexpr Duration gatherTime = std::chrono::milliseconds(100);
-    static constexpr Duration retryPeriod = std::chrono::seconds(1);
-    static constexpr std::size_t mostRequestsPerReport = 64;
-    static constexpr std::size_t mostPending = 1024;
-    /** A server that runs on registers again within seconds, and some later after an outage of the log. */
-    static constexpr Duration doubtTime = std::chrono::seconds(30);
-    static constexpr std::size_t mostDropped = 1024;
+    /** How long a write may stay unread before it is repeated. */
+    static constexpr Duration rewritePeriod = std::chrono::seconds(1);
+    static constexpr std::size_t maxRequestsPerReport = 64;
+    static constexpr std::size_t maxPendingWrites = 1024;
+    /** How long a loss report may be revoked. A server that still runs renews its registration within seconds, and
+     * somewhat later after an outage of the log. */
+    static constexpr Duration revocableTime = std::chrono::seconds(30);
+    static constexpr std::size_t maxDroppedIds = 1024;
 
-    /** A report that still takes requests in. */
-    struct Gathering {
+    /** @brief A report that further requests may still be added to. */
+    struct GatheringReport {
         Report report;
         Instant since {};
     };
 
-    struct Pending {
+    /** @brief A write or drop that has not been read back from the log. */
+    struct PendingWrite {
+        /** Nothing: the report is to be dropped. */
         std::optional<Report> report;
-        Instant nextWrite {};
+        Instant nextAttempt {};
         bool written = false;
     };
 
-    /** An own report of a loss that may still turn out to be wrong. */
-    struct Doubtful {
+    /** @brief A loss report of this router that is revoked if the instance turns out to be running still. */
+    struct RevocableReport {
         ReportId id;
         BackendInstance instance;
         Instant lostAt {};
     };
 
-    void close(const Report& report, Instant now);
-    void closeGathered(Instant now);
-    void endDoubts(Instant now);
+    void enqueue(const Report& report, Instant now);
+    void enqueueGathered(Instant now);
+    void expireRevocable(Instant now);
     [[nodiscard]] ReportId nextId();
 
     Incarnation self_;
     std::uint64_t lastNumber_ = 0;
-    std::map<BackendInstance, Gathering> gathering_;
-    std::map<ReportId, Pending> pending_;
-    std::deque<Doubtful> doubtful_;
-    /** An append that was given up may still land after its report was dropped. */
-    std::set<ReportId> dropped_;
-    Instant nextWrite_ {};
+    std::map<BackendInstance, GatheringReport> gatheringReports_;
+    std::map<ReportId, PendingWrite> pendingWrites_;
+    std::deque<RevocableReport> revocable_;
+    /** Reports of this router that were dropped: an append that timed out may still reach the log afterwards, and the
+     * report is then dropped again. */
+    std::set<ReportId> droppedIds_;
+    Instant earliestNextWrite_ {};
 };
 
 } // namespace swiftlift::quarantine
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -9,99 +9,101 @@
 Quarantine::Quarantine(QuarantineLimits limits)
     : limits_(limits)
 {
-    assert(limits_.maxServersEnded > 0 && "a request that may end no server could never be sent");
+    assert(limits_.maxServersEnded > 0 && "maxServersEnded 0 would quarantine every request");
 }
 
 void Quarantine::onReport(const Report& report, Instant now)
 {
-    const auto [known, added]
-        = reports_.try_emplace(report.id, KnownReport { { report.id, {}, report.failedInstance }, now });
-    if (added) {
-        order_.push_back(report.id);
+    const auto [stored, inserted]
+        = reports_.try_emplace(report.id, StoredReport { { report.id, {}, report.failedInstance }, now });
+    if (inserted) {
+        arrivalOrder_.push_back(report.id);
     }
-    std::vector<Fingerprint>& requests = known->second.report.requests;
+    std::vector<Fingerprint>& requests = stored->second.report.requests;
     for (const Fingerprint& request : report.requests) {
         if (std::ranges::find(requests, request) != requests.end()) {
             continue;
         }
         requests.push_back(request);
         if (report.failedInstance) {
-            accuse(request, report, now);
+            addSuspicion(request, report, now);
         } else {
-            acquit(request);
+            clearSuspicion(request);
         }
     }
     if (reports_.size() > limits_.maxReports) {
-        forgetOneReport();
+        evictReport();
     }
 }
 
-void Quarantine::accuse(const Fingerprint& request, const Report& report, Instant now)
+void Quarantine::addSuspicion(const Fingerprint& request, const Report& report, Instant now)
 {
     if (answeredRecently(request, now)) {
         return;
     }
     if (!suspects_.contains(request) && suspects_.size() >= limits_.maxSuspects) {
-        forgetOneSuspect();
+        evictSuspect();
     }
     Suspect& suspect = suspects_[request];
-    Ended& ended = suspect.ended[*report.failedInstance];
-    ended.reports.insert(report.id);
-    ended.lastReport = now;
+    InstanceReports& lossReports = suspect.endedInstances[*report.failedInstance];
+    lossReports.reports.insert(report.id);
+    lossReports.lastReport = now;
     suspect.lastReport = now;
 }
 
-void Quarantine::acquit(const Fingerprint& request) { suspects_.erase(request); }
+void Quarantine::clearSuspicion(const Fingerprint& request) { suspects_.erase(request); }
 
-// Of suspects with as many ends the oldest goes. Who fills the table with requests that were lost once forgets those
-// first, and a request under which more servers ended stays.
-void Quarantine::forgetOneSuspect()
+// Evicts the suspect with the fewest ended instances, and among equals the one reported longest ago. A flood of
+// requests that were lost once then evicts only such requests, and a request that was lost with several instances
+// stays.
+void Quarantine::evictSuspect()
 {
-    const auto weight = [](const auto& entry) { return std::pair(entry.second.ended.size(), entry.second.lastReport); };
-    suspects_.erase(std::ranges::min_element(suspects_, {}, weight));
+    const auto evictionOrder
+        = [](const auto& entry) { return std::pair(entry.second.endedInstances.size(), entry.second.lastReport); };
+    suspects_.erase(std::ranges::min_element(suspects_, {}, evictionOrder));
 }
 
-bool Quarantine::weighs(const Report& report) const
+bool Quarantine::namesRepeatSuspect(const Report& report) const
 {
     return std::ranges::any_of(
         report.requests, [this](const Fingerprint& request) { return serversEnded(request) > 1; });
 }
 
-// The reports on a request that comes again outlive any number of reports on its company.
-void Quarantine::forgetOneReport()
+// Reports about a request that was lost several times are kept, however many reports about other requests arrive.
+void Quarantine::evictReport()
 {
-    const auto light = [this](const ReportId& id) {
-        const auto known = reports_.find(id);
-        return known == reports_.end() || !weighs(known->second.report);
+    const auto isEvictable = [this](const ReportId& id) {
+        const auto stored = reports_.find(id);
+        return stored == reports_.end() || !namesRepeatSuspect(stored->second.report);
     };
-    auto place = std::ranges::find_if(order_, light);
-    place = place == order_.end() ? order_.begin() : place;
-    onWithdrawn(*place);
-    order_.erase(place);
+    auto victim = std::ranges::find_if(arrivalOrder_, isEvictable);
+    victim = victim == arrivalOrder_.end() ? arrivalOrder_.begin() : victim;
+    onWithdrawn(*victim);
+    arrivalOrder_.erase(victim);
 }
 
 void Quarantine::onWithdrawn(const ReportId& id)
 {
-    const auto known = reports_.find(id);
-    if (known == reports_.end()) {
+    const auto stored = reports_.find(id);
+    if (stored == reports_.end()) {
         return;
     }
-    const Report& report = known->second.report;
+    const Report& report = stored->second.report;
     for (const Fingerprint& request : report.requests) {
         const auto suspect = suspects_.find(request);
         if (suspect == suspects_.end() || !report.failedInstance) {
             continue;
         }
-        const auto ended = suspect->second.ended.find(*report.failedInstance);
-        if (ended != suspect->second.ended.end() && ended->second.reports.erase(id) > 0
-            && ended->second.reports.empty()) {
-            suspect->second.ended.erase(ended);
+        const auto lossReports = suspect->second.endedInstances.find(*report.failedInstance);
+        if (lossReports != suspect->second.endedInstances.end() && lossReports->second.reports.erase(id) > 0
+            && lossReports->second.reports.empty()) {
+            suspect->second.endedInstances.erase(lossReports);
         }
-        if (suspect->second.ended.empty()) {
+        if (suspect->second.endedInstances.empty()) {
             suspects_.erase(suspect);
         }
     }
-    reports_.erase(known);
+    reports_.erase(stored);
 }
 
 void Quarantine::onAnswered(const Fingerprint& request, Instant now)
@@ -110,12 +112,12 @@
     answeredOrder_.emplace_back(now, request);
     while (answeredOrder_.size() > limits_.maxAnswered) {
         const auto& [at, oldest] = answeredOrder_.front();
-        if (const auto known = answered_.find(oldest); known != answered_.end() && known->second == at) {
-            answered_.erase(known);
+        if (const auto stored = answered_.find(oldest); stored != answered_.end() && stored->second == at) {
+            answered_.erase(stored);
         }
         answeredOrder_.pop_front();
     }
-    acquit(request);
+    clearSuspicion(request);
 }
 
 bool Quarantine::answeredRecently(const Fingerprint& request, Instant now) const
@@ -127,38 +129,38 @@
 std::size_t Quarantine::serversEnded(const Fingerprint& request) const
 {
     const auto suspect = suspects_.find(request);
-    return suspect == suspects_.end() ? 0 : suspect->second.ended.size();
+    return suspect == suspects_.end() ? 0 : suspect->second.endedInstances.size();
 }
 
 std::optional<QuarantineEntry> Quarantine::quarantineEntry(const Fingerprint& request) const
 {
     const auto suspect = suspects_.find(request);
-    if (suspect == suspects_.end() || suspect->second.ended.size() < limits_.maxServersEnded) {
+    if (suspect == suspects_.end() || suspect->second.endedInstances.size() < limits_.maxServersEnded) {
         return std::nullopt;
     }
-    std::vector<Instant> reported;
-    for (const auto& [instance, ended] : suspect->second.ended) {
-        reported.push_back(ended.lastReport);
+    std::vector<Instant> reportTimes;
+    for (const auto& [instance, lossReports] : suspect->second.endedInstances) {
+        reportTimes.push_back(lossReports.lastReport);
     }
-    // It may be sent again once so many reports have become too old that fewer than the limit are left.
-    const auto decisive = reported.end() - static_cast<std::ptrdiff_t>(limits_.maxServersEnded);
-    std::ranges::nth_element(reported, decisive);
-    return QuarantineEntry { reported.size(), *decisive + limits_.lifetime };
+    // The request may be sent again once so many reports have expired that fewer than `maxServersEnded` are left.
+    const auto decidingReport = reportTimes.end() - static_cast<std::ptrdiff_t>(limits_.maxServersEnded);
+    std::ranges::nth_element(reportTimes, decidingReport);
+    return QuarantineEntry { reportTimes.size(), *decidingReport + limits_.lifetime };
 }
 
 std::vector<ReportId> Quarantine::expire(Instant now)
 {
     std::vector<ReportId> expired;
-    while (!order_.empty()) {
-        const auto known = reports_.find(order_.front());
-        if (known != reports_.end() && now - known->second.knownSince < limits_.lifetime) {
+    while (!arrivalOrder_.empty()) {
+        const auto stored = reports_.find(arrivalOrder_.front());
+        if (stored != reports_.end() && now - stored->second.receivedAt < limits_.lifetime) {
             break;
         }
-        if (known != reports_.end()) {
-            expired.push_back(order_.front());
-            onWithdrawn(order_.front());
+        if (stored != reports_.end()) {
+            expired.push_back(arrivalOrder_.front());
+            onWithdrawn(arrivalOrder_.front());
         }
-        order_.pop_front();
+        arrivalOrder_.pop_front();
     }
     return expired;
 }
--- a/src/quarantine/Report.cpp
+++ b/src/quarantine/Report.cpp
@@ -10,28 +10,28 @@
 
 namespace {
 
-    constexpr int hexadecimal = 16;
+    constexpr int hexadecimalBase = 16;
     constexpr char separator = '-';
 
-    [[nodiscard]] std::string hexOf(std::uint64_t number)
+    [[nodiscard]] std::string toHexDigits(std::uint64_t number)
     {
         std::array<char, sizeof number * 2> digits {};
-        const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), number, hexadecimal).ptr;
+        const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), number, hexadecimalBase).ptr;
         return { digits.data(), end };
     }
 
 } // namespace
 
-std::string keyOf(const ReportId& id) { return hexOf(id.reporter.value()) + separator + hexOf(id.number); }
+std::string keyOf(const ReportId& id) { return toHexDigits(id.reporter.value()) + separator + toHexDigits(id.number); }
 
 std::optional<ReportId> idOf(std::string_view key)
 {
-    const auto place = key.find(separator);
-    if (place == std::string_view::npos) {
+    const auto separatorAt = key.find(separator);
+    if (separatorAt == std::string_view::npos) {
         return std::nullopt;
     }
-    const auto reporter = parseWhole<std::uint64_t>(key.substr(0, place), hexadecimal);
-    const auto number = parseWhole<std::uint64_t>(key.substr(place + 1), hexadecimal);
+    const auto reporter = parseWhole<std::uint64_t>(key.substr(0, separatorAt), hexadecimalBase);
+    const auto number = parseWhole<std::uint64_t>(key.substr(separatorAt + 1), hexadecimalBase);
     return reporter && number ? std::optional(ReportId { Incarnation(*reporter), *number }) : std::nullopt;
 }
 
@@ -55,16 +55,16 @@
 
 std::optional<Report> decode(std::string_view record)
 {
-    proto::quarantine::Report read;
-    if (!read.ParseFromArray(record.data(), static_cast<int>(record.size())) || read.reporter() == 0) {
+    proto::quarantine::Report message;
+    if (!message.ParseFromArray(record.data(), static_cast<int>(record.size())) || message.reporter() == 0) {
         return std::nullopt;
     }
-    Report report { { Incarnation(read.reporter()), read.number() }, {}, std::nullopt };
-    for (const auto& request : read.requests()) {
+    Report report { { Incarnation(message.reporter()), message.number() }, {}, std::nullopt };
+    for (const auto& request : message.requests()) {
         report.requests.push_back({ AccountId(request.account()), { request.content_high(), request.content_low() } });
     }
-    if (read.has_lost()) {
-        report.failedInstance = BackendInstance { BackendId(read.lost().backend()), read.lost().started_at() };
+    if (message.has_lost()) {
+        report.failedInstance = BackendInstance { BackendId(message.lost().backend()), message.lost().started_at() };
     }
     return report;
 }
--- a/src/quarantine/ReportOutbox.cpp
+++ b/src/quarantine/ReportOutbox.cpp
@@ -14,15 +14,15 @@
 
 Report ReportOutbox::onRequestLost(const Fingerprint& request, const BackendInstance& instance, Instant now)
 {
-    auto gathering = gathering_.find(instance);
-    if (gathering != gathering_.end() && gathering->second.report.requests.size() >= mostRequestsPerReport) {
-        close(gathering->second.report, now);
-        gathering_.erase(gathering);
-        gathering = gathering_.end();
+    auto gathering = gatheringReports_.find(instance);
+    if (gathering != gatheringReports_.end() && gathering->second.report.requests.size() >= maxRequestsPerReport) {
+        enqueue(gathering->second.report, now);
+        gatheringReports_.erase(gathering);
+        gathering = gatheringReports_.end();
     }
-    if (gathering == gathering_.end()) {
-        gathering = gathering_.emplace(instance, Gathering { { nextId(), {}, instance }, now }).first;
-        doubtful_.push_back({ gathering->second.report.id, instance, now });
+    if (gathering == gatheringReports_.end()) {
+        gathering = gatheringReports_.emplace(instance, GatheringReport { { nextId(), {}, instance }, now }).first;
+        revocable_.push_back({ gathering->second.report.id, instance, now });
     }
     gathering->second.report.requests.push_back(request);
     return gathering->second.report;
@@ -31,99 +31,101 @@
 Report ReportOutbox::onAnswered(const Fingerprint& request, Instant now)
 {
     Report report { nextId(), { request }, std::nullopt };
-    close(report, now);
+    enqueue(report, now);
     return report;
 }
 
-std::vector<ReportId> ReportOutbox::onInstanceAlive(const BackendInstance& instance, Instant at, Duration longest)
+std::vector<ReportId> ReportOutbox::onInstanceAlive(
+    const BackendInstance& instance, Instant at, Duration maxTimeSinceLoss)
 {
     std::vector<ReportId> wrong;
-    for (auto doubt = doubtful_.begin(); doubt != doubtful_.end();) {
-        if (doubt->instance != instance || doubt->lostAt >= at || at - doubt->lostAt > longest) {
-            ++doubt;
+    for (auto revocable = revocable_.begin(); revocable != revocable_.end();) {
+        if (revocable->instance != instance || revocable->lostAt >= at || at - revocable->lostAt > maxTimeSinceLoss) {
+            ++revocable;
             continue;
         }
-        wrong.push_back(doubt->id);
-        const auto gathering = gathering_.find(instance);
-        if (gathering != gathering_.end() && gathering->second.report.id == doubt->id) {
-            gathering_.erase(gathering);
+        wrong.push_back(revocable->id);
+        const auto gathering = gatheringReports_.find(instance);
+        if (gathering != gatheringReports_.end() && gathering->second.report.id == revocable->id) {
+            gatheringReports_.erase(gathering);
         } else {
-            drop(doubt->id, at);
+            drop(revocable->id, at);
         }
-        doubt = doubtful_.erase(doubt);
+        revocable = revocable_.erase(revocable);
     }
     return wrong;
 }
 
 void ReportOutbox::adopt(const Report& report, Instant at)
 {
-    if (pending_.size() < mostPending) {
-        pending_.try_emplace(report.id, Pending { report, at, true });
+    if (pendingWrites_.size() < maxPendingWrites) {
+        pendingWrites_.try_emplace(report.id, PendingWrite { report, at, true });
     }
 }
 
 void ReportOutbox::drop(const ReportId& id, Instant at)
 {
     if (id.reporter == self_) {
-        dropped_.insert(id);
-        if (dropped_.size() > mostDropped) {
-            dropped_.erase(dropped_.begin());
+        droppedIds_.insert(id);
+        if (droppedIds_.size() > maxDroppedIds) {
+            droppedIds_.erase(droppedIds_.begin());
         }
     }
-    pending_[id] = Pending { std::nullopt, at, false };
+    pendingWrites_[id] = PendingWrite { std::nullopt, at, false };
 }
 
 void ReportOutbox::onRead(const ReportId& id, bool present, Instant now)
 {
-    const auto pending = pending_.find(id);
-    if (pending != pending_.end() && pending->second.report.has_value() == present) {
-        pending_.erase(pending);
+    const auto pending = pendingWrites_.find(id);
+    if (pending != pendingWrites_.end() && pending->second.report.has_value() == present) {
+        pendingWrites_.erase(pending);
     }
-    if (present && dropped_.contains(id) && !pending_.contains(id)) {
+    if (present && droppedIds_.contains(id) && !pendingWrites_.contains(id)) {
         drop(id, now);
     }
 }
 
-void ReportOutbox::close(const Report& report, Instant now)
+void ReportOutbox::enqueue(const Report& report, Instant now)
 {
-    if (pending_.size() < mostPending) {
-        pending_[report.id] = Pending { report, now, false };
+    if (pendingWrites_.size() < maxPendingWrites) {
+        pendingWrites_[report.id] = PendingWrite { report, now, false };
     }
 }
 
-void ReportOutbox::closeGathered(Instant now)
+void ReportOutbox::enqueueGathered(Instant now)
 {
-    for (auto gathering = gathering_.begin(); gathering != gathering_.end();) {
+    for (auto gathering = gatheringReports_.begin(); gathering != gatheringReports_.end();) {
         if (now - gathering->second.since < gatherTime) {
             ++gathering;
             continue;
         }
-        close(gathering->second.report, now);
-        gathering = gathering_.erase(gathering);
+        enqueue(gathering->second.report, now);
+        gathering = gatheringReports_.erase(gathering);
     }
 }
 
-void ReportOutbox::endDoubts(Instant now)
+void ReportOutbox::expireRevocable(Instant now)
 {
-    while (!doubtful_.empty() && now - doubtful_.front().lostAt > doubtTime) {
-        doubtful_.pop_front();
+    while (!revocable_.empty() && now - revocable_.front().lostAt > revocableTime) {
+        revocable_.pop_front();
     }
 }
 
 std::optional<ReportOrder> ReportOutbox::due(Duration spacing, Instant now)
 {
-    closeGathered(now);
-    endDoubts(now);
-    if (pending_.empty() || now < nextWrite_) {
+    enqueueGathered(now);
+    expireRevocable(now);
+    if (pendingWrites_.empty() || now < earliestNextWrite_) {
         return std::nullopt;
     }
-    const auto first = std::ranges::min_element(pending_, {}, [](const auto& entry) { return entry.second.nextWrite; });
+    const auto first
+        = std::ranges::min_element(pendingWrites_, {}, [](const auto& entry) { return entry.second.nextAttempt; });
     auto& [id, pending] = *first;
-    if (now < pending.nextWrite) {
+    if (now < pending.nextAttempt) {
         return std::nullopt;
     }
-    nextWrite_ = now + spacing;
-    pending.nextWrite = now + retryPeriod;
+    earliestNextWrite_ = now + spacing;
+    pending.nextAttempt = now + rewritePeriod;
     return ReportOrder { id, pending.report, !std::exchange(pending.written, true) };
 }
 
--- a/tests/quarantine/ReportOutboxTest.cpp
+++ b/tests/quarantine/ReportOutboxTest.cpp
@@ -25,7 +25,7 @@
         Instant now { seconds(100) };
     };
 
-    TEST_F(ReportOutboxTest, RequestsLostTogetherShareAReport)
+    TEST_F(ReportOutboxTest, RequestsLostTogetherShareOneReport)
     {
         (void)outbox.onRequestLost(request(1), instance, now);
         EXPECT_FALSE(dueAfter(milliseconds(20)));
@@ -36,8 +36,8 @@
         EXPECT_EQ(order->report->failedInstance, instance);
     }
 
-    // Guards against: a report whose append was lost is never known to the other routers.
-    TEST_F(ReportOutboxTest, WritesAgainUntilItWasReadBack)
+    // Guards against a lost append keeping a report from the other routers for good.
+    TEST_F(ReportOutboxTest, RepeatsWriteUntilReportIsReadBack)
     {
         const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
         EXPECT_TRUE(dueAfter(milliseconds(100)));
@@ -48,25 +48,28 @@
         EXPECT_EQ(outbox.unread(), 0U);
     }
 
-    // Guards against: reset connections are told as ends of servers that go on answering.
-    TEST_F(ReportOutboxTest, ServerThatRanAfterwardsWasNotLost)
+    // Guards against reporting the end of a server that keeps answering after some of its connections were reset.
+    TEST_F(ReportOutboxTest, RevokesReportWhenInstanceRanAfterwards)
     {
         const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
-        EXPECT_TRUE(outbox.onInstanceAlive(instance, now).empty()) << "it may have ended right after";
+        EXPECT_TRUE(outbox.onInstanceAlive(instance, now).empty())
+            << "the instance may have ended right after the moment of the loss";
         EXPECT_EQ(outbox.onInstanceAlive(instance, now + milliseconds(1)), std::vector { id });
-        EXPECT_FALSE(dueAfter(seconds(5))) << "it was never written";
+        EXPECT_FALSE(dueAfter(seconds(5)))
+            << "the revoked report was not written yet, so there is nothing to drop from the log";
     }
 
-    // Guards against: the answers of a server that started again within seconds take its former life's end back.
-    TEST_F(ReportOutboxTest, AnswerLongAfterTheLossProvesNothing)
+    // Guards against revoking the report about an instance because of answers of the next instance, which started
+    // within seconds under the same id.
+    TEST_F(ReportOutboxTest, KeepsReportWhenAnswerCameTooLate)
     {
         const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
         EXPECT_TRUE(outbox.onInstanceAlive(instance, now + seconds(1), milliseconds(500)).empty());
         EXPECT_EQ(outbox.onInstanceAlive(instance, now + milliseconds(200), milliseconds(500)), std::vector { id });
     }
 
-    // Guards against: an append that comes late brings a report back that was taken back.
-    TEST_F(ReportOutboxTest, ReportThatLandsAfterItWasTakenBackIsDroppedAgain)
+    // Guards against a late append restoring a report that was revoked and dropped.
+    TEST_F(ReportOutboxTest, DropsRevokedReportAgainWhenItsAppendArrivesLate)
     {
         const ReportId id = outbox.onRequestLost(request(1), instance, now).id;
         ASSERT_TRUE(dueAfter(milliseconds(100)));
@@ -83,7 +86,7 @@
         EXPECT_FALSE(order->report);
     }
 
-    TEST_F(ReportOutboxTest, WritesAnothersReportIfItIsNotReadSoon)
+    TEST_F(ReportOutboxTest, WritesAdoptedReportUnlessItIsReadBefore)
     {
         const Report other { { Incarnation(7), 1 }, { request(1) }, instance };
         outbox.adopt(other, now + seconds(1));
@@ -91,10 +94,10 @@
         const auto order = dueAfter(milliseconds(600));
         ASSERT_TRUE(order && order->report);
         EXPECT_EQ(order->id, other.id);
-        EXPECT_FALSE(order->first) << "its reporter has told the peers";
+        EXPECT_FALSE(order->first) << "the reporter has sent the report to its peers already";
     }
 
-    TEST(ReportRecord, IsReadAsItWasWritten)
+    TEST(ReportRecord, DecodesWhatWasEncoded)
     {
         const Report report { { Incarnation(0xFEDC), 18 },
             { { AccountId("club"), { 1, 2 } }, { AccountId(""), { 3, 4 } } },
