--- a/include/swiftlift/request/Outcome.h
+++ b/include/swiftlift/request/Outcome.h
@@ -4,24 +4,25 @@
 
 namespace swiftlift::request {
 
-/** What a caller may be told in the end. */
+/** @brief The final outcome of a request as the caller is told. */
 enum class Outcome : std::uint8_t {
+    /** The request ran and its answer went to the caller. */
     Answered,
-    /** Certainly not run, and it won't be unless the caller asks again. */
+    /** The request has certainly not run, and will not run unless the caller retries. */
     NotRun,
-    /** It may have run, or may be running. */
+    /** The request may have run, may be running, or may run later. */
     Unknown,
 };
 
-/** What became of an attempt at a backend server. */
+/** @brief How an attempt at a backend server ended. */
 enum class AttemptEnd : std::uint8_t {
-    /** The whole answer has come. */
+    /** The whole answer was received. */
     Completed,
-    /** The backend server certainly did not start it: refused connection, 429, 503. */
+    /** The backend server certainly did not start the request: connection refused, status 429 or 503. */
     NotStarted,
-    /** As NotStarted, and the backend server said that it is leaving. */
+    /** The request was not started, as in NotStarted, and the backend server announced that it is leaving. */
     Leaving,
-    /** Broken off after the request may have been sent: it may have run. */
+    /** The connection broke after the request may have been sent: the request may have run. */
     Broken,
 };
 
--- a/src/request/RequestTable.cpp
+++ b/src/request/RequestTable.cpp
@@ -6,15 +6,15 @@
 
 namespace swiftlift::request {
 
-RequestTable::RequestTable(std::size_t remembered)
-    : remembered_(remembered)
+RequestTable::RequestTable(std::size_t maxRemembered)
+    : maxRemembered_(maxRemembered)
 {
 }
 
 Arrival RequestTable::arrive(const RequestKey& key, CallId call, std::uint32_t attempt, bool idempotent)
 {
     if (auto found = records_.find(key); found != records_.end()) {
-        return arriveAgain(found->second, call, attempt, idempotent);
+        return arriveRepeated(found->second, call, attempt, idempotent);
     }
     Record record;
     record.call = call;
@@ -26,22 +26,23 @@
     return Arrival::Proceed;
 }
 
-Arrival RequestTable::arriveAgain(Record& record, CallId call, std::uint32_t attempt, bool idempotent)
+Arrival RequestTable::arriveRepeated(Record& record, CallId call, std::uint32_t attempt, bool idempotent)
 {
     if (!record.ended) {
         return Arrival::InProgress;
     }
-    // A request that was ever marked non-idempotent stays so: a retry that forgets the mark must not run it twice.
-    const bool runOnce = !record.idempotent || !idempotent;
-    const bool finished = record.ended != Outcome::NotRun || record.claim != ClaimState::None;
-    if (runOnce && (finished || record.maybeStarted)) {
+    // A request that was ever marked non-idempotent stays non-idempotent: a retry without the mark must not run it
+    // twice.
+    const bool mustRunOnce = !record.idempotent || !idempotent;
+    const bool mayHaveEffect = record.ended != Outcome::NotRun || record.claim != ClaimState::None;
+    if (mustRunOnce && (mayHaveEffect || record.maybeStarted)) {
         return Arrival::AlreadyEnded;
     }
-    // An attempt that skips a number went to another router in between: what became of it there is not known here.
-    const bool noneMissed = attempt <= record.attempt + 1;
-    record.wholeHistoryKnown = record.wholeHistoryKnown && noneMissed;
+    // A gap in the attempt numbers means that the caller sent attempts to other routers, whose outcome is unknown here.
+    const bool noAttemptMissed = attempt <= record.attempt + 1;
+    record.wholeHistoryKnown = record.wholeHistoryKnown && noAttemptMissed;
     record.call = call;
-    record.idempotent = !runOnce;
+    record.idempotent = !mustRunOnce;
     record.attempt = std::max(attempt, record.attempt);
     record.ended.reset();
     record.reason.clear();
@@ -66,7 +67,7 @@
 void RequestTable::claimSent(const RequestKey& key)
 {
     auto found = records_.find(key);
-    assert(found != records_.end() && "a claim is sent for a known request only");
+    assert(found != records_.end() && "claimSent() without a record of the request");
     found->second.claim = ClaimState::Pending;
 }
 
@@ -89,7 +90,7 @@
 void RequestTable::claimFound(const RequestKey& key, Incarnation owner)
 {
     auto found = records_.find(key);
-    assert(found != records_.end() && "a claim is looked up for a known request only");
+    assert(found != records_.end() && "claimFound() without a record of the request");
     found->second.claim = owner == Incarnation {} ? ClaimState::Void : ClaimState::Theirs;
 }
 
@@ -107,7 +108,7 @@
 
 void RequestTable::dispatched(const RequestKey& key)
 {
-    assert(mayDispatch(key) && "only a request that may be dispatched is");
+    assert(mayDispatch(key) && "dispatched() for a request that may not be dispatched");
     records_.at(key).attemptRunning = true;
 }
 
@@ -138,33 +139,33 @@
     if (record->claim == ClaimState::Ours) {
         return Outcome::NotRun;
     }
-    // What goes wrong: an earlier attempt sits in a paused router, which wakes up after this one has said "not run" and
-    // dispatches it. The caller then sees an effect it was told is not there. So only the router that knows of every
-    // attempt says "not run"; any other says that it does not know.
+    // An earlier attempt may be held by a suspended router, which resumes and dispatches it after this router has
+    // reported "not run"; the caller would then see an effect that it was told does not exist. So "not run" is reported
+    // only by a router that received every attempt of the caller; any other router reports "unknown".
     return record->wholeHistoryKnown ? Outcome::NotRun : Outcome::Unknown;
 }
 
 bool RequestTable::end(const RequestKey& key, Outcome outcome, std::string reason, Tokens billed)
 {
     auto found = records_.find(key);
-    assert(found != records_.end() && !found->second.ended && "a request ends once");
+    assert(found != records_.end() && !found->second.ended && "end() for a request that is not in progress");
     Record& record = found->second;
     record.ended = outcome;
     record.reason = std::move(reason);
     record.billed = billed;
     record.attemptRunning = false;
     --inProgress_;
-    endedOrder_.push_back(key);
-    forgetOldest();
-    const bool claimHeld = record.claim == ClaimState::Ours || record.claim == ClaimState::Pending;
-    return claimHeld && outcome != Outcome::Answered && !record.maybeStarted;
+    endedKeys_.push_back(key);
+    evictOldestEnded();
+    const bool claimMayBeOurs = record.claim == ClaimState::Ours || record.claim == ClaimState::Pending;
+    return claimMayBeOurs && outcome != Outcome::Answered && !record.maybeStarted;
 }
 
-void RequestTable::forgetOldest()
+void RequestTable::evictOldestEnded()
 {
-    while (endedOrder_.size() > remembered_) {
-        auto oldest = records_.find(endedOrder_.front());
-        endedOrder_.pop_front();
+    while (endedKeys_.size() > maxRemembered_) {
+        auto oldest = records_.find(endedKeys_.front());
+        endedKeys_.pop_front();
         if (oldest != records_.end() && oldest->second.ended) {
             records_.erase(oldest);
         }
--- a/tests/request/RequestTableTest.cpp
+++ b/tests/request/RequestTableTest.cpp
@@ -17,18 +17,17 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::NotRun);
     }
 
-    // Symptom: a caller is told "not run" and then sees the effect of its request.
-    // Events: the first attempt reaches router A, which is paused; the retry reaches router B, which has no money for
-    // it; A wakes up and dispatches.
-    // Cause: B spoke for an attempt that it knows nothing of.
-    TEST(RequestTable, RetryFromElsewhereIsNeverCalledNotRun)
+    // Guards against a caller being told "not run" and then seeing the effect of its request. The first attempt reaches
+    // router A, which is suspended; the retry reaches router B, which has no tokens for the request; A resumes and
+    // dispatches the first attempt, of which B has no record.
+    TEST(RequestTable, RetryWhoseFirstAttemptWentElsewhereIsNotReportedNotRun)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 2, true), Arrival::Proceed);
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::Unknown);
     }
 
-    TEST(RequestTable, RetryAtTheSameRouterKnowsItsHistory)
+    TEST(RequestTable, RetryAtTheSameRouterMayBeReportedNotRun)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, true), Arrival::Proceed);
@@ -37,8 +36,9 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::NotRun);
     }
 
-    // Symptom, events and cause as above; here the second attempt went elsewhere and the third came back.
-    TEST(RequestTable, RetryThatSkippedAnAttemptIsNeverCalledNotRun)
+    // Guards against a caller being told "not run" and then seeing the effect of its request, when the second attempt
+    // went to another router and the third came back to the first.
+    TEST(RequestTable, RetryThatSkippedAnAttemptIsNotReportedNotRun)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, true), Arrival::Proceed);
@@ -57,18 +57,18 @@
         EXPECT_TRUE(table.mayDispatch(key)) << "an idempotent request may run again";
     }
 
-    TEST(RequestTable, AttemptThatWasNotStartedChangesNothing)
+    TEST(RequestTable, AttemptThatWasNotStartedLeavesOutcomeNotRun)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, true), Arrival::Proceed);
         table.dispatched(key);
-        EXPECT_FALSE(table.mayDispatch(key)) << "one attempt at a time";
+        EXPECT_FALSE(table.mayDispatch(key)) << "the request has an attempt in progress at a backend server";
         table.attemptEnded(key, AttemptEnd::NotStarted);
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::NotRun);
         EXPECT_TRUE(table.mayDispatch(key));
     }
 
-    TEST(RequestTable, NonIdempotentNeedsItsClaimReadBack)
+    TEST(RequestTable, NonIdempotentIsDispatchedOnlyOnceItsClaimIsReadBack)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, false), Arrival::Proceed);
@@ -79,10 +79,9 @@
         EXPECT_TRUE(table.mayDispatch(key));
     }
 
-    // Symptom: an order is placed twice.
-    // Events: the plain service takes the order and the connection breaks before its answer.
-    // Cause: the router took the silence for a call that had not begun, and sent it to another backend server.
-    TEST(RequestTable, NonIdempotentNeverRunsAgainAfterABreak)
+    // Guards against an order that is placed twice: the plain service takes the order, the connection breaks before the
+    // answer, and the router takes the request for not started and sends it to another backend server.
+    TEST(RequestTable, NonIdempotentNeverRunsAgainAfterABrokenAttempt)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, false), Arrival::Proceed);
@@ -94,13 +93,12 @@
         EXPECT_FALSE(table.end(key, Outcome::Unknown, "backend_lost", Tokens {})) << "a used claim is not voided";
         EXPECT_EQ(table.arrive(key, CallId { 2 }, 2, false), Arrival::AlreadyEnded);
         EXPECT_EQ(table.arrive(key, CallId { 3 }, 3, true), Arrival::AlreadyEnded)
-            << "a forgotten mark changes nothing";
+            << "a retry without the non-idempotent mark is refused too";
     }
 
-    // Symptom: a request that was called "not run" runs later.
-    // Events: the claim's append gets no answer, the router gives up, the claim lands afterwards.
-    // Cause: nobody had said in the log that the claim will never be used.
-    TEST(RequestTable, GivingUpAPendingClaimVoidsIt)
+    // Guards against a request that runs after it was reported "not run": the append of the claim gets no answer, the
+    // router gives the request up, and the claim reaches the log afterwards without a record there that voids it.
+    TEST(RequestTable, GivingUpARequestWithPendingClaimVoidsTheClaim)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 1, false), Arrival::Proceed);
@@ -120,10 +118,10 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::Unknown);
     }
 
-    // Symptom: an order is placed twice, the second time long after the first.
-    // Events: the router claims, runs and later forgets a request; a retry finds the claim in the ledger.
-    // Cause: the router took its own old claim for leave to run the request now.
-    TEST(RequestTable, ClaimFoundInTheLedgerIsNotLeaveToRun)
+    // Guards against an order that is placed twice, the second time long after the first: the router claims, runs and
+    // later evicts a request, a retry finds the claim in the ledger, and the router takes its own old claim as
+    // permission to run the request again.
+    TEST(RequestTable, ClaimFoundInTheLedgerDoesNotPermitDispatch)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 2, false), Arrival::Proceed);
@@ -132,7 +130,7 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::Unknown);
     }
 
-    TEST(RequestTable, VoidKeyIsCalledNotRun)
+    TEST(RequestTable, RequestWithVoidClaimIsReportedNotRun)
     {
         RequestTable table;
         ASSERT_EQ(table.arrive(key, call, 2, false), Arrival::Proceed);
@@ -148,7 +146,7 @@
         EXPECT_EQ(table.inProgress(), 1U);
     }
 
-    TEST(RequestTable, ForgetsTheOldestEndedOnly)
+    TEST(RequestTable, EvictsOnlyTheOldestEndedRequests)
     {
         RequestTable table(2);
         for (std::uint64_t number = 0; number < 4; ++number) {
@@ -159,7 +157,7 @@
         }
         EXPECT_EQ(table.find({ 0, 0 }), nullptr);
         EXPECT_NE(table.find({ 0, 1 }), nullptr);
-        EXPECT_NE(table.find({ 0, 3 }), nullptr) << "one in progress is never forgotten";
+        EXPECT_NE(table.find({ 0, 3 }), nullptr) << "a request in progress is never evicted";
         EXPECT_EQ(table.inProgress(), 1U);
     }
 
