--- a/include/swiftlift/routing/BackendFacts.h
+++ b/include/swiftlift/routing/BackendFacts.h
@@ -9,65 +9,73 @@
 
 namespace swiftlift::routing {
 
-/** A backend server as a service's document names it. */
+/** @brief A backend server as listed in a service's document. */
 struct BackendEntry {
     BackendId backend;
     FailureDomain domain;
-    /** Requests it runs at once; 0: not told, to be learnt from its reports. */
+    /** Requests that the backend server runs at once; 0 if not listed: estimated from its load reports. */
     std::uint32_t slots = 0;
-    /** Differs from one life of it to the next; 0: not told. */
+    /** Start time of the instance: later instances have greater values; 0 if not listed. */
     std::uint64_t instance = 0;
 };
 
-/** What a backend server says of itself, with a lag. */
+/** @brief A backend server's report on its own load; it shows a moment somewhat before its arrival. */
 struct LoadReport {
+    /** Requests that run. */
     std::uint32_t running = 0;
+    /** Requests that wait at the backend server. */
     std::uint32_t waiting = 0;
-    /** Time of one step of the engine; zero for a plain service. */
+    /** Duration of one engine step; zero for a plain service. */
     Duration step {};
+    /** Models that the backend server serves. */
     std::vector<std::string> models;
+    /** The backend server announces that it will stop serving. */
     bool leaving = false;
-    /** Grows with each start of the backend server. */
+    /** Number that grows with each start of the backend server. */
     std::uint64_t generation = 0;
 };
 
 enum class CacheChange : std::uint8_t { Stored, Evicted };
 
-/** Late, and with gaps in the sequence. */
+/** @brief A change in a backend server's prefix cache. Notices arrive late, and some get lost. */
 struct CacheNotice {
+    /** Consecutive number of the notice; a gap shows that notices were lost. */
     std::uint64_t sequence = 0;
     CacheChange change = CacheChange::Stored;
     std::uint64_t prefixHash = 0;
 };
 
-/** What this router sends a backend server. */
+/** @brief An attempt that this router sends to a backend server. */
 struct DispatchFacts {
+    /** Hash of the beginning of the prompt; 0 if the request has no prefix. */
     std::uint64_t prefixHash = 0;
     Tokens promptTokens;
-    /** What the choice said, to be compared with what comes. */
+    /** Time to first token that the selector predicted, to be compared with the measured time. */
     Duration predictedFirstToken {};
 };
 
+/** @brief How an attempt ended. */
 enum class EndKind : std::uint8_t {
+    /** The whole answer was received. */
     Completed,
-    /** Refused before it started: connection refused, full. */
+    /** The request was refused before it started: the connection was refused, or the backend server is full. */
     NotStarted,
-    /** As NotStarted, and the backend server says that it is leaving. */
+    /** The request was not started, and the backend server announced that it is leaving. */
     Leaving,
-    /** Broken off, or silent too long. */
+    /** The connection broke, or no data came for too long. */
     Broken,
-    /** Answered, with a failure: it is reached, and runs at least some requests. */
+    /** The backend server answered with a failure: it is reachable, and runs at least some requests. */
     Failed,
-    /** Given up by this router: says nothing about the backend server. */
+    /** This router cancelled the attempt, which shows nothing about the backend server. */
     Cancelled,
 };
 
-/** How an attempt ended. */
+/** @brief How an attempt ended, and what the answer states about the prompt. */
 struct FinishFacts {
     EndKind kind = EndKind::Completed;
-    /** Of a completed one. */
+    /** Prompt tokens that the answer states; only for a completed attempt. */
     Tokens promptTokens;
-    /** Of a completed one: prompt tokens that the engine had cached. */
+    /** Prompt tokens that the engine had cached; only for a completed attempt. */
     Tokens cachedPromptTokens;
 };
 
--- a/include/swiftlift/routing/BackendTable.h
+++ b/include/swiftlift/routing/BackendTable.h
@@ -20,86 +20,99 @@
 class PrefillModel;
 class PrefixLengths;
 
-/** How the table judges backend servers. */
+/** @brief Parameters by which the table estimates load and availability of backend servers. */
 struct TableSettings {
+    /** Seed of the jitter of circuit breakers. */
     std::uint64_t seed = 1;
-    /** What a report shows is taken to be this old when it arrives. */
+    /** Assumed age of a load report's figures at its arrival. */
     Duration reportLag = std::chrono::milliseconds(300);
-    /** Older reports are no longer trusted. */
+    /** A load report older than this is ignored. */
     Duration reportLifetime = std::chrono::seconds(5);
-    /** Failures in a row that open the breaker. */
+    /** Consecutive failures that open the circuit breaker. */
     std::uint32_t breakerFailures = 3;
+    /** How long the breaker stays open the first time; doubled each time that the probe fails. */
     Duration breakerFirstOpen = std::chrono::seconds(1);
+    /** Maximum time that the breaker stays open, apart from jitter. */
     Duration breakerLongestOpen = std::chrono::seconds(30);
-    /** From one request at a time to all, after a breaker closes or a backend server starts anew. */
+    /** How long the number of concurrent requests grows from one to the slots, after the breaker closes or the backend
+     * server restarts. */
     Duration slowStart = std::chrono::seconds(10);
-    /** After "full": how long nothing is sent. */
+    /** How long nothing is sent to a backend server after it refused a request as full. */
     Duration fullPause = std::chrono::milliseconds(100);
-    /** How long a sign of leaving holds against reports that don't confirm it. */
+    /** How long a backend server counts as leaving when its load reports don't confirm it. */
     Duration leavingHold = std::chrono::seconds(30);
-    /** Prefixes remembered of each backend server, at most. */
+    /** Maximum number of prefixes remembered for each backend server. */
     std::size_t prefixesKept = 2048;
-    /** Prefixes remembered of all backend servers together: the bound of the table's memory. */
+    /** Maximum number of prefixes remembered for all backend servers together, which bounds the table's memory. */
     std::size_t prefixesInAll = 65'536;
-    /** Requests an engine is taken to run at once before it has been seen to let any wait. */
+    /** Requests that an engine is assumed to run at once until a load report shows requests that wait there. */
     std::uint32_t assumedSlots = 8;
-    /** What an engine is taken to need for a prompt token that is not cached, before it has been measured. */
+    /** Assumed prefill time of one uncached prompt token until enough first tokens have been measured. */
     Duration assumedPrefillPerToken = std::chrono::microseconds(20);
-    /** Backend servers are asked for their load; one that never reported then counts as failing when it refuses. */
+    /** True if backend servers are polled for load reports: a refusal by a server that never sent a report then counts
+     * as a failure. */
     bool polled = true;
+    /** Assumed duration of an engine step until a load report states it. */
     Duration assumedStep = std::chrono::milliseconds(3);
+    /** Assumed time for which a request occupies a slot until requests have completed. */
     Duration assumedHold = std::chrono::milliseconds(500);
 };
 
+/** @brief Availability of a backend server; Broken and Probing are states of its circuit breaker. */
 enum class BackendState : std::uint8_t { Up, SlowStart, Probing, Broken, Leaving };
 
-/** A backend server as it looks now, for selectors and operators. */
+/** @brief Estimated present state of a backend server, for selectors and operators. */
 struct BackendView {
     BackendId backend;
     FailureDomain domain;
     BackendState state = BackendState::Up;
-    /** Reported and corrected by what this router sent and saw end since. */
+    /** Requests that run there: the last load report, corrected by what this router dispatched and finished since. */
     std::uint32_t running = 0;
+    /** Requests that wait there, estimated in the same way. */
     std::uint32_t waiting = 0;
-    /** This router's own. */
+    /** Attempts of this router in progress there. */
     std::uint32_t inFlight = 0;
-    /** Requests it can run at once, as far as is known. */
+    /** Estimated number of requests that the backend server runs at once. */
     std::uint32_t slots = 0;
-    /** Prompt tokens expected in its cache, for the request asked about. */
+    /** Tokens of the request's prompt that are expected in the prefix cache. */
     Tokens cachedTokens;
+    /** Predicted time to first token of the request. */
     Duration predictedFirstToken {};
-    /** What it still has to read of the prompts that this router has sent it and that have no answer yet. */
+    /** Predicted prefill time of the prompts that this router has sent there and that have no first token yet. */
     Duration unread {};
-    /** What it takes to read the shared part of the request asked about, where it is not cached. */
+    /** Predicted prefill time of the shared part of the request's prompt, if it is not cached. */
     Duration sharedPart {};
-    /** Mean of how far first tokens were from what their choice predicted. */
+    /** Moving average of the difference between predicted and measured time to first token. */
     Duration predictionError {};
-    /** False when nothing may be sent to it now. */
+    /** False if nothing may be sent there now. */
     bool usable = false;
-    /** It answers and has room: to be used though its breaker holds it back, where nothing else is left. */
+    /** True if the backend server answers and has a free slot: it may be used in spite of an open breaker if no other
+     * is left. */
     bool lastResort = false;
-    /** A request sent now is the breaker's one probe. */
+    /** True if a request sent now would be the breaker's only probe. */
     bool probe = false;
-    /** When it may become usable again, as far as is known. */
+    /** Earliest time at which the backend server may become usable; nothing if it is leaving. */
     std::optional<Instant> usableAt;
-    /** Nothing: never reported. */
+    /** Time since the last load report arrived; nothing if there was none. */
     std::optional<Duration> reportAge;
-    /** False when it reported its models and the one asked for is not among them. */
+    /** False if the backend server reported its models and the request's model is not among them. */
     bool servesModel = true;
 };
 
-/** What a view is asked for. */
+/** @brief The request for which a view's predictions are made. */
 struct ViewRequest {
+    /** Empty if any model will do. */
     std::string model;
+    /** Hash of the beginning of the prompt; 0 if the request has no prefix. */
     std::uint64_t prefixHash = 0;
     Tokens promptTokens;
-    /** Of the prompt, what other requests share and a home of the prefix has cached. */
+    /** Prompt tokens that other requests share and that a home of the prefix has cached. */
     Tokens sharedTokens = {};
 };
 
 /**
- * @brief What this router knows of each backend server: lagged reports corrected by its own traffic, breaker, cached
- * prefixes.
+ * @brief Estimates the state of each backend server: load from lagged reports corrected by this router's own traffic,
+ * circuit breaker, and cached prefixes.
  */
 class BackendTable {
 public:
@@ -108,44 +121,52 @@
     BackendTable(BackendTable&&) noexcept;
     BackendTable& operator=(BackendTable&&) noexcept;
 
-    /** @brief Sets the backend servers of a service; an empty list removes it. One server may serve several. */
+    /** @brief Sets the backend servers of a service; an empty list removes the service. A backend server may serve
+     * several services. */
     void setBackends(const ServiceName& service, const std::vector<BackendEntry>& backends, Instant now);
 
+    /** @brief Processes a load report. */
     void onLoad(const BackendId& backend, const LoadReport& report, Instant now);
-    /** @brief A load report could not be had. */
+    /** @brief Counts a failed poll of the backend server's load as a failure. */
     void onLoadMissed(const BackendId& backend, Instant now);
+    /** @brief Updates the cached prefixes of the backend server. */
     void onCacheEvents(const BackendId& backend, const std::vector<CacheNotice>& events, Instant now);
+    /** @brief Records that an attempt was sent to the backend server. */
     void onDispatched(const BackendId& backend, AttemptId attempt, const DispatchFacts& facts, Instant now);
+    /** @brief Records the first token of an attempt. */
     void onFirstToken(const BackendId& backend, AttemptId attempt, Instant now);
+    /** @brief Records the end of an attempt. */
     void onFinished(const BackendId& backend, AttemptId attempt, const FinishFacts& facts, Instant now);
-    /** @brief Any sign that the backend server is leaving: nothing is sent to it from now on. */
+    /** @brief Records that the backend server announced in any way that it is leaving: no requests go there any more.
+     */
     void onLeaving(const BackendId& backend, Instant now);
-    /** @brief Drops the records of backend servers that no service names any more and that run nothing of ours. */
+    /** @brief Removes backend servers that no service lists any more and that run no attempt of this router. */
     void tick(Instant now);
-    /** @return All backend servers of a service, in order of their addresses. */
+    /** @return Views of all backend servers of a service, in order of their addresses. */
     [[nodiscard]] std::vector<BackendView> views(
         const ServiceName& service, const ViewRequest& request, Instant now) const;
-    /** @return One of them, whatever the service. */
+    /** @return View of one backend server of any service; nothing if the table has no such server. */
     [[nodiscard]] std::optional<BackendView> view(
         const BackendId& backend, const ViewRequest& request, Instant now) const;
-    /** @return All backend servers known, in order of their addresses. */
+    /** @return All backend servers in the table, in order of their addresses. */
     [[nodiscard]] std::vector<BackendId> backends() const;
+    /** @return The backend servers of a service, in order of their addresses. */
     [[nodiscard]] std::vector<BackendId> backendsOf(const ServiceName& service) const;
-    /** @return The models it reported last. */
+    /** @return The models of the backend server's last load report. */
     [[nodiscard]] std::vector<std::string> modelsOf(const BackendId& backend) const;
 
 private:
     [[nodiscard]] Backend* find(const BackendId& backend) const;
-    void removeUnused();
-    void sharePrefixMemory();
+    void removeUnlisted();
+    void distributePrefixCapacity();
 
     TableSettings settings_;
     std::unique_ptr<PrefillModel> prefill_;
     std::unique_ptr<PrefixLengths> lengths_;
     std::map<BackendId, std::unique_ptr<Backend>> backends_;
     std::map<ServiceName, std::set<BackendId>> services_;
-    /** Some records wait for their last requests to end. */
-    bool removed_ = false;
+    /** The table holds backend servers that no service lists and that still run attempts of this router. */
+    bool hasUnlistedBackends_ = false;
 };
 
 } // namespace swiftlift::routing
--- a/include/swiftlift/routing/DomainReachability.h
+++ b/include/swiftlift/routing/DomainReachability.h
@@ -11,37 +11,41 @@
 namespace swiftlift::routing {
 
 /**
- * @brief Which failure domains this router seems to be cut off from, judged by its own attempts alone.
+ * @brief Detects failure domains that this router can't reach, from its own connection attempts alone.
  *
- * What goes wrong: a cut leaves a router with the backend servers of one domain, while requests go on being placed over
- * all of them. Each then waits for one connection after another to time out, and is refused after four. One notices by
- * `attempt_failed` with `unreachable`, many in a second, to servers of the same domains. A breaker learns it server by
- * server, three failures each; that takes as many seconds as the cut lasts. Two servers of a domain that were not
- * reached one after the other, with nothing of the domain reached between, are enough to prefer the others for a
- * moment.
+ * After a network partition that leaves a router with the backend servers of one domain, requests that are placed over
+ * all domains wait for one connection timeout after another and are refused after four; the log then shows many
+ * `attempt_failed` events a second with `unreachable` for servers of the same domains. Circuit breakers would need
+ * three failures for each server, which takes as long as the partition lasts. So two servers of a domain that could not
+ * be reached, with no server of the domain reached in between, make the router prefer other domains for a short time.
  */
 class DomainReachability {
 public:
+    /** @brief Records that a backend server of the domain was reached: the domain counts as reachable again. */
     void onBackendReached(const FailureDomain& domain);
+    /** @brief Records that a connection to the backend server failed. */
     void onBackendUnreachable(const FailureDomain& domain, const BackendId& backend, Instant now);
 
-    /** @return Whether the domain is to be passed over while others have a usable backend server. */
+    /** @return True if the domain is to be avoided as long as others have a usable backend server. */
     [[nodiscard]] bool seemsUnreachable(const FailureDomain& domain, Instant now) const;
-    /** @return Domains to be passed over while others have a usable backend server. */
+    /** @return The domains to be avoided as long as others have a usable backend server. */
     [[nodiscard]] std::set<FailureDomain> unreachableDomains(Instant now) const;
 
 private:
-    /** One server alone may be down; of two, the way to them is the likelier cause. */
-    static constexpr std::size_t serversForDoubt = 2;
-    /** Then some requests find out whether the cut is over; each loses no more than the time to connect. */
-    static constexpr Duration doubtLasts = std::chrono::seconds(2);
-
-    struct Missed {
+    /** Unreachable servers that make their domain count as unreachable. One server alone may be down; for two, the
+     * network is the likelier cause. */
+    static constexpr std::size_t minUnreachableServers = 2;
+    /** How long a domain counts as unreachable after the last failed connection. Requests sent there afterwards show
+     * whether the partition is over; each loses at most the connection timeout. */
+    static constexpr Duration unreachableTime = std::chrono::seconds(2);
+
+    /** @brief Servers of a domain that could not be reached since one of them was reached last. */
+    struct ConnectFailures {
         std::set<BackendId> servers;
         Instant last;
     };
 
-    std::map<FailureDomain, Missed> missed_;
+    std::map<FailureDomain, ConnectFailures> connectFailures_;
 };
 
 } // namespace swiftlift::routing
--- a/include/swiftlift/routing/LoadShedder.h
+++ b/include/swiftlift/routing/LoadShedder.h
@@ -9,101 +9,112 @@
 
 namespace swiftlift::routing {
 
-/** How far behind a router is at the moment at which a request was read. */
+/** @brief The router's load at the moment at which a request was read. */
 struct ObservedLoad {
-    /** How late its own timers come. */
+    /** Delay of the router's timers. */
     Duration lag {};
-    /** Requests that wait to be decided on. */
+    /** Requests that wait for an admission decision. */
     std::size_t waiting = 0;
-    /** The caller had left before its request was read. */
+    /** The caller had disconnected before its request was read. */
     bool callerLeft = false;
 };
 
+/** @brief What to do with a request that was just read. */
 enum class LoadShedVerdict : std::uint8_t {
     Accept,
-    /** Refuse at once: it would make all others later. */
+    /** Refuse the request at once: it would delay all others. */
     Refuse,
-    /** Nobody waits for it: no work at all. */
+    /** Drop the request without an answer: its caller has disconnected. */
     Drop,
 };
 
-/** Bounds of what a router takes in. */
+/** @brief Load beyond which a router refuses requests. */
 struct LoadShedderLimits {
-    /** Zero: any. */
+    /** Maximum delay of timers; zero for no limit. */
     Duration maxLag {};
-    /** Zero: any. */
+    /** Maximum number of requests that wait for an admission decision; zero for no limit. */
     std::size_t maxWaiting = 0;
-    /** What the VM's link carries each way, in bytes a second. Zero: not known. */
+    /** Bandwidth of the VM's link in each direction, in bytes per second; zero if not known. */
     std::uint64_t linkBytesPerSecond = 0;
 };
 
-/** Payload that went over the VM's link, since the start. */
+/** @brief Payload bytes that have passed over the VM's link since the router started. */
 struct LinkTraffic {
     std::uint64_t received = 0;
     std::uint64_t sent = 0;
 };
 
 /**
- * @brief Whether a request that was just read is taken in, and whether more callers should be sent here.
+ * @brief Decides whether a request that was just read is accepted, and whether the router is ready for more callers.
  *
- * The load it answers: most of an account's callers come to one VM, several times what it can pass on. What goes wrong:
- * their requests wait in its sockets until the callers have left; it reads them nevertheless, sends them on for nobody,
- * and has no time for those that still wait. It goes on like that long after the load has fallen to what it could
- * carry. One notices by `caller_gone` a few ms after a request was read, hundreds a second, and no `answered`. So what
- * nobody waits for is dropped, what comes too late is refused, and a router that turns away a quarter of what comes
- * says that it is not ready: the platform's entry then sends new callers to other VMs.
+ * Most callers of an account may connect to one VM, with several times the load that its router can forward. Requests
+ * then wait in the sockets until their callers have disconnected. A router that forwards those requests nevertheless
+ * has no time for callers that still wait, and stays in this state long after the load has fallen to what it could
+ * carry; the log shows hundreds of `caller_gone` a second, each a few ms after its request was read, and no `answered`.
+ * So requests of disconnected callers are dropped, and requests are refused while the router lags. A router that turns
+ * away more than a quarter of its requests reports that it is not ready, and the platform's load balancer sends new
+ * callers to other VMs.
  *
- * A link that is full looks different: the router is in time, but what it sends and gets waits in the link's queue.
- * Connections to backend servers then take longer than they may, the log can't be read, and heartbeats come late. One
- * notices by `connect: timeout` for servers of all domains at one VM. So a router that knows its link's bandwidth says
- * that it is not ready before the link is full, and refuses what comes once it is.
+ * When the VM's link is full, the router does not lag, but its traffic waits in the link's queue: connections to
+ * backend servers time out, the log can't be read, and heartbeats come late. The log shows `connect: timeout` for
+ * servers of all domains at one VM. So a router that has a bandwidth set for its link reports that it is not ready
+ * before the link is full, and refuses requests once it is.
  */
 class LoadShedder {
 public:
     explicit LoadShedder(LoadShedderLimits limits);
 
-    /** To be told a few times a second. */
+    /** @brief Records the traffic counters of the VM's link; to be called a few times a second. */
     void onTraffic(const LinkTraffic& traffic, Instant now);
 
+    /**
+     * @brief Decides on a request that was just read, and counts it.
+     * @param load The router's load when the request was read.
+     * @param now The current time.
+     * @return What to do with the request.
+     */
     [[nodiscard]] LoadShedVerdict onRequest(const ObservedLoad& load, Instant now);
 
-    /** @return Whether more callers should be sent here. */
+    /** @return True if new callers may be sent to this router. */
     [[nodiscard]] bool ready(Instant now);
 
 private:
-    /** Requests that are looked back on: as long as the platform's entry takes between two questions. */
+    /** Time over which requests are counted: the period of the load balancer's readiness probes. */
     static constexpr Duration window = std::chrono::seconds(1);
-    /** Fewer say nothing. */
-    static constexpr std::size_t leastSeen = 20;
-    /** One in so many turned away is too many. */
-    static constexpr std::size_t tooManyDivisor = 4;
-    /** Two questions in a row have to be answered with no before callers are sent elsewhere. */
-    static constexpr Duration shortestPause = std::chrono::milliseconds(2500);
-
-    /** Parts of the link, in percent, from which on other VMs should get new callers, and nothing more is taken in. The
-     * payload counted is about nine tenths of what goes over the link with its headers and acknowledgements. */
+    /** Minimum number of requests in the window for the turned-away part of them to count. */
+    static constexpr std::size_t minRequests = 20;
+    /** The router is not ready if more than one in this many requests was turned away. */
+    static constexpr std::size_t turnedAwayDivisor = 4;
+    /** How long the router stays not ready: the load balancer removes a VM only after two failed probes in a row. */
+    static constexpr Duration notReadyTime = std::chrono::milliseconds(2500);
+
+    /** Payload in percent of the link's bandwidth beyond which the router is not ready. Payload is about nine tenths of
+     * the bytes on the link; the rest is headers and acknowledgements. */
     static constexpr std::uint64_t busyPercent = 75;
+    /** Payload in percent of the link's bandwidth beyond which requests are refused. */
     static constexpr std::uint64_t fullPercent = 90;
-    /** The link is judged over this time: shorter, a few large requests would count as much as a flood. */
+    /** Time over which the link's traffic is averaged; over a shorter time, a few large requests would look like a
+     * flood. */
     static constexpr Duration linkWindow = std::chrono::milliseconds(500);
 
-    [[nodiscard]] LoadShedVerdict verdictOn(const ObservedLoad& load) const;
-    void forget(Instant now);
-    [[nodiscard]] bool linkBeyond(std::uint64_t percent) const;
+    [[nodiscard]] LoadShedVerdict verdictFor(const ObservedLoad& load) const;
+    void removeOldRequests(Instant now);
+    [[nodiscard]] bool linkLoadExceeds(std::uint64_t percent) const;
 
-    struct Seen {
+    /** @brief A request that was read within the window. */
+    struct CountedRequest {
         Instant at;
         bool turnedAway = false;
     };
 
     LoadShedderLimits limits_;
-    std::deque<Seen> seen_;
-    std::size_t turnedAway_ = 0;
-    Instant pausedUntil_ {};
-    LinkTraffic windowBegan_;
-    Instant windowBeganAt_ {};
-    /** Of the last whole window, the way with more. */
-    std::uint64_t linkBytesPerSecond_ = 0;
+    std::deque<CountedRequest> countedRequests_;
+    std::size_t turnedAwayCount_ = 0;
+    Instant notReadyUntil_ {};
+    LinkTraffic windowStartTraffic_;
+    Instant windowStart_ {};
+    /** Payload over the last complete `linkWindow`, in the direction with more of it. */
+    std::uint64_t measuredBytesPerSecond_ = 0;
 };
 
 } // namespace swiftlift::routing
--- a/include/swiftlift/routing/RetryShare.h
+++ b/include/swiftlift/routing/RetryShare.h
@@ -8,42 +8,50 @@
 
 namespace swiftlift::routing {
 
-/** The fleet's bound on what is sent to a service beyond each request's first time. */
+/** @brief The fleet's bound on retries to one service within a time window. */
 struct RetryBound {
-    /** Of the requests for the service within the window. */
+    /** Retries allowed for each request for the service. */
     double ratio = 0.1;
-    /** Beyond that, by the whole fleet. */
+    /** Retries allowed beyond `ratio`, for the whole fleet. */
     double extra = 20;
+    /** The time window. */
     Duration window = std::chrono::seconds(10);
 };
 
 /**
- * @brief One router's share of a bound that all routers have to keep together, while it may hear nobody.
+ * @brief One router's share of a retry bound that the whole fleet has to keep, without communication between routers.
  *
- * Its part of the ratio is the ratio of its own requests, and its part of the rest is divided by the routers: the sum
- * over all routers then keeps the bound, whatever each of them knows of the others.
+ * Each router may send `ratio` retries for each of its own requests, and an equal share of `extra`. The sum over all
+ * routers then keeps the bound even if routers are cut off from each other.
  */
 class RetryShare {
 public:
+    /** @param bound The fleet's bound. */
     explicit RetryShare(RetryBound bound);
 
+    /** @brief Records a request for the service. */
     void onRequest(Instant now);
 
     /**
-     * @param routers Of the fleet, as far as is known; too few would break the bound, too many wastes some of it.
-     * @return Whether one more may be sent; it then counts.
+     * @brief Takes one retry from the router's share.
+     * @param routers Number of routers in the fleet. A number too low may break the bound, one too high leaves part of
+     * it unused.
+     * @param now The current time.
+     * @return True if the retry may be sent.
      */
     [[nodiscard]] bool take(std::uint32_t routers, Instant now);
 
-    /** @return When there will be room again, as far as is known. */
+    /** @return Time until the oldest counted retry leaves the window. */
     [[nodiscard]] Duration retryAfter(Instant now) const;
 
 private:
-    void forget(Instant now);
+    void removeOld(Instant now);
 
     RetryBound bound_;
+    /** Times of the requests within the window. */
     std::deque<Instant> requests_;
-    std::deque<Instant> repeats_;
+    /** Times of the retries within the window. */
+    std::deque<Instant> retries_;
 };
 
 } // namespace swiftlift::routing
--- a/include/swiftlift/routing/Selector.h
+++ b/include/swiftlift/routing/Selector.h
@@ -18,25 +18,26 @@
 
 namespace swiftlift::routing {
 
-/** A request that needs a backend server. */
+/** @brief A request for which a backend server is to be selected. */
 struct SelectRequest {
     ServiceName service;
-    /** Empty: any backend server of the service will do. */
+    /** Empty if any backend server of the service will do. */
     std::string model;
+    /** Hash of the beginning of the prompt; 0 if the request has no prefix. */
     std::uint64_t prefixHash = 0;
     /** Tokens of the prompt that other requests may share. */
     Tokens sharedTokens;
     Tokens promptTokens;
     Priority priority = Priority::Normal;
-    /** Only these may be a breaker's probe. */
+    /** Only idempotent requests may be a circuit breaker's probe. */
     bool idempotent = true;
-    /** Tried already, for this request. */
+    /** Backend servers that were tried already for this request. */
     std::set<BackendId> excluded;
-    /** Failure domains that seem out of reach: used when nothing else is left. */
+    /** Failure domains that seem unreachable: their backend servers are used only if no other is left. */
     std::set<FailureDomain> unreachableDomains;
 };
 
-/** A backend server that was weighed, with its figures. */
+/** @brief A backend server that was considered and not selected, with the figures that were compared. */
 struct Alternative {
     BackendId backend;
     Duration predictedFirstToken {};
@@ -45,58 +46,71 @@
     std::uint32_t waiting = 0;
 };
 
+/** @brief The selected backend server. */
 struct Choice {
     BackendId backend;
     Duration predictedFirstToken {};
     /** Short text for the log line, for example `prefix cached, own domain`. */
     std::string reason;
-    /** Others that were weighed. */
+    /** Other backend servers that were considered. */
     std::vector<Alternative> alternatives;
-    /** The breaker's one probe. */
+    /** The request is the only probe of the backend server's circuit breaker. */
     bool probe = false;
-    /** The shared part of the prompt is taken not to be cached there: it has to be read as well. */
+    /** The shared part of the prompt is expected not to be cached there and has to be prefilled as well. */
     bool prefillsSharedPart = false;
 };
 
+/** @brief Why no backend server was selected. */
 enum class NoChoice : std::uint8_t {
     None,
-    /** The service has no backend server that may be used: leaving, broken, without the model, or tried already. */
+    /** The service has no usable backend server: all are leaving, broken, paused, without the model, or tried already.
+     */
     NoBackend,
-    /** All that may be used have as much waiting as is sensible: the request should wait here. */
+    /** All usable backend servers have the maximum number of waiting requests: the request should wait in the router.
+     */
     AllFull,
 };
 
-/** How selectors weigh. */
+/** @brief Parameters of all selectors. */
 struct SelectorSettings {
+    /** The router's own failure domain. */
     FailureDomain domain;
+    /** Seed of random decisions. */
     std::uint64_t seed = 1;
-    /** Requests let wait at an engine beyond what it runs: more would take the order out of this router's hands. */
+    /** Maximum number of requests that wait at a backend server. The backend server decides their order, so more of
+     * them would defeat the fair queue of the router. */
     std::uint32_t waitingAtBackend = 2;
-    /** Beyond this predicted first token in the own failure domain, others are weighed too. */
+    /** Other failure domains are considered once the predicted time to first token in the own one exceeds this. */
     Duration domainOverload = std::chrono::milliseconds(150);
-    /** Chance, in percent, that a request becomes the probe of a breaker while other backend servers are usable. */
+    /** Probability, in percent, that a request becomes a breaker's probe while other backend servers are usable. */
     std::uint32_t probePercent = 10;
-    /** Added to the predicted first token of another failure domain. */
+    /** Added to the predicted time to first token of backend servers in other failure domains. */
     Duration crossDomain = std::chrono::milliseconds(4);
 };
 
-/** @brief Chooses a backend server for a request. */
+/** @brief Selects a backend server for a request. */
 class Selector {
 public:
     explicit Selector(SelectorSettings settings);
     virtual ~Selector() = default;
 
     /**
-     * @param table What is known; not changed. The caller tells the table when it dispatches.
-     * @return The choice; nothing with `lastReason()`, `noChoice()` and `retryAfter()`.
+     * @brief Selects a backend server.
+     * @param request The request.
+     * @param table State of the backend servers. The caller calls BackendTable::onDispatched() when it dispatches.
+     * @param now The current time.
+     * @return The choice; if nothing, `lastReason()`, `noChoice()` and `retryAfter()` say why.
      */
     [[nodiscard]] std::optional<Choice> choose(const SelectRequest& request, const BackendTable& table, Instant now);
 
+    /** @return Why the last choose() that selected nothing did so, as text for the caller and the log. */
     [[nodiscard]] const std::string& lastReason() const noexcept { return lastReason_; }
+    /** @return Why the last choose() that selected nothing did so. */
     [[nodiscard]] NoChoice noChoice() const noexcept { return noChoice_; }
-    /** @return After a choose() without a choice: when asking again is worth it. */
+    /** @return Time after which a retry is worthwhile, for the last choose() that selected nothing. */
     [[nodiscard]] Duration retryAfter() const noexcept { return retryAfter_; }
 
+    /** @return Name of the selector as in makeSelector(). */
     [[nodiscard]] virtual std::string_view name() const noexcept = 0;
 
 protected:
@@ -104,40 +118,48 @@
     Selector& operator=(const Selector&) = default;
 
     /**
-     * @param request What is to be placed.
-     * @param candidates Usable ones of one preference, never empty.
-     * @return The one to take, its reason and alternatives.
+     * @brief Selects one of several usable backend servers.
+     * @param request The request.
+     * @param candidates Usable backend servers, never empty.
+     * @return The selected backend server with reason and alternatives.
      */
     [[nodiscard]] virtual Choice pick(const SelectRequest& request, const std::vector<BackendView>& candidates) = 0;
 
-    /** @return Whether all failure domains are weighed alike for this request. */
+    /** @return True if backend servers of all failure domains are equally preferred for this request. */
     [[nodiscard]] virtual bool spansDomains(const SelectRequest& /*request*/) const { return false; }
 
     [[nodiscard]] std::mt19937_64& random() noexcept { return random_; }
 
 private:
-    /** Backend servers of a service, sorted by what speaks against them. */
-    struct Sorted {
-        std::vector<BackendView> own;
-        std::vector<BackendView> others;
+    /** @brief Backend servers of a service, grouped by whether and how they may be used for a request. */
+    struct Classified {
+        /** Usable, in the router's own failure domain. */
+        std::vector<BackendView> ownDomain;
+        /** Usable, in other failure domains. */
+        std::vector<BackendView> otherDomains;
+        /** Usable for the probe of their circuit breaker only. */
         std::vector<BackendView> probes;
+        /** Usable, but with the maximum number of waiting requests. */
         std::vector<BackendView> full;
-        /** Kept back by their breakers, though they answer. */
-        std::vector<BackendView> heldBack;
-        /** Usable, but in a domain that seems out of reach. */
-        std::vector<BackendView> unreachableDomains;
-        /** How many can't be used, by reason. */
+        /** Not usable because of their breaker or slow start, though they answer and have a free slot. */
+        std::vector<BackendView> lastResorts;
+        /** Usable, but in a failure domain that seems unreachable. */
+        std::vector<BackendView> inUnreachableDomains;
+        /** Number of backend servers that can't be used, by reason. */
         std::map<std::string, int> unusable;
+        /** Earliest time at which an unusable backend server may become usable. */
         std::optional<Instant> usableAt;
     };
 
-    [[nodiscard]] static Choice lastResort(const std::vector<BackendView>& heldBack);
-    [[nodiscard]] Sorted sort(const SelectRequest& request, std::vector<BackendView> views) const;
-    [[nodiscard]] std::string objection(const SelectRequest& request, const BackendView& view) const;
-    [[nodiscard]] bool full(const SelectRequest& request, const BackendView& view) const;
-    [[nodiscard]] std::optional<Choice> probe(const SelectRequest& request, const Sorted& sorted);
-    [[nodiscard]] Choice pickByDomain(const SelectRequest& request, const Sorted& sorted);
-    void explain(const Sorted& sorted, Instant now);
+    [[nodiscard]] static Choice pickLastResort(const std::vector<BackendView>& lastResorts);
+    [[nodiscard]] Classified classify(const SelectRequest& request, std::vector<BackendView> views) const;
+    /** @return Why the backend server can't be used for the request; empty if it can. */
+    [[nodiscard]] std::string unusableReason(const SelectRequest& request, const BackendView& view) const;
+    [[nodiscard]] bool isFull(const SelectRequest& request, const BackendView& view) const;
+    [[nodiscard]] std::optional<Choice> pickProbe(const SelectRequest& request, const Classified& classified);
+    [[nodiscard]] Choice pickByDomain(const SelectRequest& request, const Classified& classified);
+    /** @brief Sets the reason and the retry time for a request without a choice. */
+    void explainNoChoice(const Classified& classified, Instant now);
 
     SelectorSettings settings_;
     std::mt19937_64 random_;
@@ -147,8 +169,10 @@
 };
 
 /**
+ * @brief Makes a selector by its name.
  * @param name `affinity`, `rendezvous`, `random`, `round_robin` or `least_load`.
- * @return nullptr for any other name.
+ * @param settings Parameters of the selector.
+ * @return The selector; nullptr for any other name.
  */
 [[nodiscard]] std::unique_ptr<Selector> makeSelector(std::string_view name, SelectorSettings settings);
 
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -79,7 +79,7 @@
 
 void Admission::onFirstToken(Duration took) { firstToken_ += (took - firstToken_) / firstTokenSmoothing; }
 
-std::vector<CallId> Admission::expire(Instant now) { return queue_.expire(now, leastFirstToken()); }
+std::vector<CallId> Admission::expire(Instant now) { return queue_.expire(now, minFirstToken()); }
 
 Duration Admission::retryAfter(const AccountId& account, std::uint32_t weight, Instant now) const
 {
--- a/src/routing/BackendTable.cpp
+++ b/src/routing/BackendTable.cpp
@@ -36,11 +36,11 @@
     } else {
         services_[service] = std::move(ids);
     }
-    removeUnused();
-    sharePrefixMemory();
+    removeUnlisted();
+    distributePrefixCapacity();
 }
 
-void BackendTable::sharePrefixMemory()
+void BackendTable::distributePrefixCapacity()
 {
     if (backends_.empty()) {
         return;
@@ -54,12 +54,12 @@
 
 void BackendTable::tick(Instant /*now*/)
 {
-    if (removed_) {
-        removeUnused();
+    if (hasUnlistedBackends_) {
+        removeUnlisted();
     }
 }
 
-void BackendTable::removeUnused()
+void BackendTable::removeUnlisted()
 {
     std::set<BackendId> used;
     for (const auto& [service, ids] : services_) {
@@ -67,7 +67,7 @@
     }
     // One that still has requests of this router keeps its record, so that its load is right if it comes back.
     std::erase_if(backends_, [&](const auto& entry) { return !used.contains(entry.first) && entry.second->idle(); });
-    removed_ = backends_.size() > used.size();
+    hasUnlistedBackends_ = backends_.size() > used.size();
 }
 
 Backend* BackendTable::find(const BackendId& backend) const
--- a/src/routing/DomainReachability.cpp
+++ b/src/routing/DomainReachability.cpp
@@ -2,26 +2,26 @@
 
 namespace swiftlift::routing {
 
-void DomainReachability::onBackendReached(const FailureDomain& domain) { missed_.erase(domain); }
+void DomainReachability::onBackendReached(const FailureDomain& domain) { connectFailures_.erase(domain); }
 
 void DomainReachability::onBackendUnreachable(const FailureDomain& domain, const BackendId& backend, Instant now)
 {
-    Missed& missed = missed_[domain];
-    missed.servers.insert(backend);
-    missed.last = now;
+    ConnectFailures& failures = connectFailures_[domain];
+    failures.servers.insert(backend);
+    failures.last = now;
 }
 
 bool DomainReachability::seemsUnreachable(const FailureDomain& domain, Instant now) const
 {
-    const auto found = missed_.find(domain);
-    return found != missed_.end() && found->second.servers.size() >= serversForDoubt
-        && now - found->second.last < doubtLasts;
+    const auto found = connectFailures_.find(domain);
+    return found != connectFailures_.end() && found->second.servers.size() >= minUnreachableServers
+        && now - found->second.last < unreachableTime;
 }
 
 std::set<FailureDomain> DomainReachability::unreachableDomains(Instant now) const
 {
     std::set<FailureDomain> domains;
-    for (const auto& [domain, missed] : missed_) {
+    for (const auto& [domain, failures] : connectFailures_) {
         if (seemsUnreachable(domain, now)) {
             domains.insert(domain);
         }
--- a/src/routing/FairQueue.cpp
+++ b/src/routing/FairQueue.cpp
@@ -37,11 +37,11 @@
         return result;
     }
     if (calls_.size() >= maxWaiting_) {
-        const AccountId over = mostOverShare(call.account, call.weight);
-        if (over == call.account) {
+        const AccountId displacedAccount = accountMostOverShare(call.account, call.weight);
+        if (displacedAccount == call.account) {
             return result;
         }
-        const CallId last = lines_.at(over).calls.rbegin()->second;
+        const CallId last = lines_.at(displacedAccount).calls.rbegin()->second;
         erase(last);
         result.displaced.push_back(last);
     }
@@ -65,15 +65,15 @@
 }
 
 // A full queue in order of arrival would be filled by whoever sends most; the others would be refused for it.
-AccountId FairQueue::mostOverShare(const AccountId& newcomer, std::uint32_t weight) const
+AccountId FairQueue::accountMostOverShare(const AccountId& newcomer, std::uint32_t weight) const
 {
     AccountId most = newcomer;
-    double highest = static_cast<double>(sizeOf(newcomer) + 1) / weight;
+    double highestShare = static_cast<double>(sizeOf(newcomer) + 1) / weight;
     for (const auto& [account, line] : lines_) {
         const double share = static_cast<double>(line.calls.size()) / line.weight;
-        if (account != newcomer && share > highest) {
+        if (account != newcomer && share > highestShare) {
             most = account;
-            highest = share;
+            highestShare = share;
         }
     }
     return most;
@@ -105,14 +105,14 @@
 {
     std::optional<WaitingCall> call = peek();
     if (call) {
-        serve(*call, now);
+        chargeService(*call, now);
         erase(call->call);
-        forgetIdle();
+        eraseIdleLines();
     }
     return call;
 }
 
-void FairQueue::serve(const WaitingCall& call, Instant now)
+void FairQueue::chargeService(const WaitingCall& call, Instant now)
 {
     Line& line = lines_.at(call.account);
     virtualTime_ = std::max(virtualTime_, line.start);
@@ -140,7 +140,7 @@
 
 // An account that has been served ahead of the others keeps its place while it has nothing waiting: else it would jump
 // the queue by sending one call at a time.
-void FairQueue::forgetIdle()
+void FairQueue::eraseIdleLines()
 {
     std::erase_if(
         lines_, [this](const auto& entry) { return entry.second.calls.empty() && entry.second.start <= virtualTime_; });
@@ -152,18 +152,18 @@
         return false;
     }
     erase(call);
-    forgetIdle();
+    eraseIdleLines();
     return true;
 }
 
-std::vector<CallId> FairQueue::expire(Instant now, Duration least)
+std::vector<CallId> FairQueue::expire(Instant now, Duration minServiceTime)
 {
     std::vector<CallId> expired;
-    while (!deadlines_.empty() && deadlines_.begin()->first < now + least) {
+    while (!deadlines_.empty() && deadlines_.begin()->first < now + minServiceTime) {
         expired.push_back(deadlines_.begin()->second);
         erase(expired.back());
     }
-    forgetIdle();
+    eraseIdleLines();
     return expired;
 }
 
--- a/src/routing/RetryBudget.cpp
+++ b/src/routing/RetryBudget.cpp
@@ -10,50 +10,50 @@
     using namespace std::chrono_literals;
 
     constexpr std::int64_t oneRetry = 1'000;
-    constexpr std::int64_t perPercent = oneRetry / 100;
-    constexpr std::int64_t mostSaved = 20 * oneRetry;
-    constexpr std::int64_t savedAtStart = 3 * oneRetry;
+    constexpr std::int64_t levelPerPercent = oneRetry / 100;
+    constexpr std::int64_t maxLevel = 20 * oneRetry;
+    constexpr std::int64_t initialLevel = 3 * oneRetry;
     // A quiet service may retry once in so long, whatever its percentage.
-    constexpr Duration tricklePerRetry = 5s;
-    constexpr int paceSmoothing = 8;
+    constexpr Duration refillTimePerRetry = 5s;
+    constexpr int intervalSmoothing = 8;
 
 } // namespace
 
 RetryBudget::RetryBudget(std::uint32_t percent)
     : percent_(percent)
-    , level_(percent > 0 ? savedAtStart : 0)
+    , level_(percent > 0 ? initialLevel : 0)
 {
 }
 
-void RetryBudget::trickle(Instant now)
+void RetryBudget::refill(Instant now)
 {
     if (!started_) {
         started_ = true;
-        lastTrickle_ = now;
+        lastRefill_ = now;
         return;
     }
     if (percent_ == 0) {
-        lastTrickle_ = now;
+        lastRefill_ = now;
         return;
     }
-    const std::int64_t gained = (now - lastTrickle_) * oneRetry / tricklePerRetry;
-    level_ = std::min(level_ + gained, mostSaved);
-    lastTrickle_ += tricklePerRetry * gained / oneRetry;
+    const std::int64_t refilled = (now - lastRefill_) * oneRetry / refillTimePerRetry;
+    level_ = std::min(level_ + refilled, maxLevel);
+    lastRefill_ += refillTimePerRetry * refilled / oneRetry;
 }
 
 void RetryBudget::onFirstAttempt(Instant now)
 {
-    trickle(now);
-    level_ = std::min(level_ + perPercent * percent_, mostSaved);
+    refill(now);
+    level_ = std::min(level_ + levelPerPercent * percent_, maxLevel);
     if (lastAttempt_ != Instant {}) {
-        pace_ += ((now - lastAttempt_) - pace_) / paceSmoothing;
+        attemptInterval_ += ((now - lastAttempt_) - attemptInterval_) / intervalSmoothing;
     }
     lastAttempt_ = now;
 }
 
 bool RetryBudget::tryRetry(Instant now)
 {
-    trickle(now);
+    refill(now);
     if (level_ < oneRetry) {
         return false;
     }
@@ -64,12 +64,12 @@
 Duration RetryBudget::retryAfter(Instant /*now*/) const
 {
     const std::int64_t missing = std::max<std::int64_t>(oneRetry - level_, 0);
-    const Duration byTime = tricklePerRetry * missing / oneRetry;
-    if (percent_ == 0 || pace_ == Duration {}) {
-        return byTime;
+    const Duration timeByRefill = refillTimePerRetry * missing / oneRetry;
+    if (percent_ == 0 || attemptInterval_ == Duration {}) {
+        return timeByRefill;
     }
-    const std::int64_t attempts = (missing + perPercent * percent_ - 1) / (perPercent * percent_);
-    return std::min(byTime, pace_ * attempts);
+    const std::int64_t attempts = (missing + levelPerPercent * percent_ - 1) / (levelPerPercent * percent_);
+    return std::min(timeByRefill, attemptInterval_ * attempts);
 }
 
 } // namespace swiftlift::routing
--- a/src/routing/RetryShare.cpp
+++ b/src/routing/RetryShare.cpp
@@ -8,7 +8,7 @@
 namespace {
 
     /** Part of the bound that is used: what is sent now may be counted in a window that begins a little later. */
-    constexpr double usedPart = 0.9;
+    constexpr double usedFraction = 0.9;
 
 } // namespace
 
@@ -17,39 +17,39 @@
 {
 }
 
-void RetryShare::forget(Instant now)
+void RetryShare::removeOld(Instant now)
 {
     const Instant oldest = now - bound_.window;
-    const auto dropOld = [oldest](std::deque<Instant>& moments) {
-        while (!moments.empty() && moments.front() < oldest) {
-            moments.pop_front();
+    const auto dropOlderThanWindow = [oldest](std::deque<Instant>& times) {
+        while (!times.empty() && times.front() < oldest) {
+            times.pop_front();
         }
     };
-    dropOld(requests_);
-    dropOld(repeats_);
+    dropOlderThanWindow(requests_);
+    dropOlderThanWindow(retries_);
 }
 
 void RetryShare::onRequest(Instant now)
 {
-    forget(now);
+    removeOld(now);
     requests_.push_back(now);
 }
 
 bool RetryShare::take(std::uint32_t routers, Instant now)
 {
-    forget(now);
-    const double ofRequests = bound_.ratio * static_cast<double>(requests_.size());
-    const double ofRest = bound_.extra / std::max<std::uint32_t>(routers, 1);
-    if (static_cast<double>(repeats_.size()) + 1 > usedPart * (ofRequests + ofRest)) {
+    removeOld(now);
+    const double allowedByRatio = bound_.ratio * static_cast<double>(requests_.size());
+    const double allowedByExtra = bound_.extra / std::max<std::uint32_t>(routers, 1);
+    if (static_cast<double>(retries_.size()) + 1 > usedFraction * (allowedByRatio + allowedByExtra)) {
         return false;
     }
-    repeats_.push_back(now);
+    retries_.push_back(now);
     return true;
 }
 
 Duration RetryShare::retryAfter(Instant now) const
 {
-    return repeats_.empty() ? Duration {} : std::max(repeats_.front() + bound_.window - now, Duration {});
+    return retries_.empty() ? Duration {} : std::max(retries_.front() + bound_.window - now, Duration {});
 }
 
 } // namespace swiftlift::routing
--- a/src/routing/Selector.cpp
+++ b/src/routing/Selector.cpp
@@ -13,10 +13,10 @@
 
     using namespace std::chrono_literals;
 
-    constexpr Duration defaultRetry = 1s;
-    constexpr Duration shortestRetry = 50ms;
+    constexpr Duration defaultRetryAfter = 1s;
+    constexpr Duration minRetryAfter = 50ms;
     // Another failure domain has to be clearly better before requests leave the own one.
-    constexpr int betterByPercent = 80;
+    constexpr int maxOtherDomainPercent = 80;
 
     [[nodiscard]] std::string join(const std::map<std::string, int>& counts)
     {
@@ -37,25 +37,26 @@
 
 std::optional<Choice> Selector::choose(const SelectRequest& request, const BackendTable& table, Instant now)
 {
-    const ViewRequest wanted { request.model, request.prefixHash, request.promptTokens, request.sharedTokens };
-    Sorted sorted = sort(request, table.views(request.service, wanted, now));
-    if (std::optional<Choice> choice = probe(request, sorted)) {
+    const ViewRequest viewRequest { request.model, request.prefixHash, request.promptTokens, request.sharedTokens };
+    Classified classified = classify(request, table.views(request.service, viewRequest, now));
+    if (std::optional<Choice> choice = pickProbe(request, classified)) {
         return choice;
     }
-    if (sorted.own.empty() && sorted.others.empty() && sorted.full.empty() && !sorted.heldBack.empty()) {
-        return lastResort(sorted.heldBack);
+    if (classified.ownDomain.empty() && classified.otherDomains.empty() && classified.full.empty()
+        && !classified.lastResorts.empty()) {
+        return pickLastResort(classified.lastResorts);
     }
-    if (sorted.own.empty() && sorted.full.empty() && sorted.others.empty()) {
-        sorted.others = std::move(sorted.unreachableDomains);
+    if (classified.ownDomain.empty() && classified.full.empty() && classified.otherDomains.empty()) {
+        classified.otherDomains = std::move(classified.inUnreachableDomains);
     }
-    if (sorted.own.empty() && sorted.others.empty()) {
-        explain(sorted, now);
+    if (classified.ownDomain.empty() && classified.otherDomains.empty()) {
+        explainNoChoice(classified, now);
         return std::nullopt;
     }
-    return pickByDomain(request, sorted);
+    return pickByDomain(request, classified);
 }
 
-std::string Selector::objection(const SelectRequest& request, const BackendView& view) const
+std::string Selector::unusableReason(const SelectRequest& request, const BackendView& view) const
 {
     if (view.state == BackendState::Leaving) {
         return "leaving";
@@ -77,54 +78,54 @@
 
 // Requests that wait at a backend server are served in its order, not by the accounts' shares. So all but a few wait
 // here; urgent ones may wait where they are next.
-bool Selector::full(const SelectRequest& request, const BackendView& view) const
+bool Selector::isFull(const SelectRequest& request, const BackendView& view) const
 {
-    const std::uint32_t more = request.priority == Priority::Interactive ? settings_.waitingAtBackend : 0;
-    return view.waiting >= settings_.waitingAtBackend + more;
+    const std::uint32_t additional = request.priority == Priority::Interactive ? settings_.waitingAtBackend : 0;
+    return view.waiting >= settings_.waitingAtBackend + additional;
 }
 
-Selector::Sorted Selector::sort(const SelectRequest& request, std::vector<BackendView> views) const
+Selector::Classified Selector::classify(const SelectRequest& request, std::vector<BackendView> views) const
 {
-    Sorted sorted;
+    Classified classified;
     for (BackendView& view : views) {
-        if (const std::string reason = objection(request, view); !reason.empty()) {
-            ++sorted.unusable[reason];
-            const bool mayReturn = view.usableAt && view.servesModel && !request.excluded.contains(view.backend);
-            if (mayReturn && (!sorted.usableAt || *view.usableAt < *sorted.usableAt)) {
-                sorted.usableAt = view.usableAt;
+        if (const std::string reason = unusableReason(request, view); !reason.empty()) {
+            ++classified.unusable[reason];
+            const bool mayBecomeUsable = view.usableAt && view.servesModel && !request.excluded.contains(view.backend);
+            if (mayBecomeUsable && (!classified.usableAt || *view.usableAt < *classified.usableAt)) {
+                classified.usableAt = view.usableAt;
             }
-            if (view.lastResort && mayReturn) {
-                sorted.heldBack.push_back(std::move(view));
+            if (view.lastResort && mayBecomeUsable) {
+                classified.lastResorts.push_back(std::move(view));
             }
         } else if (view.probe) {
-            sorted.probes.push_back(std::move(view));
-        } else if (full(request, view)) {
-            sorted.full.push_back(std::move(view));
+            classified.probes.push_back(std::move(view));
+        } else if (isFull(request, view)) {
+            classified.full.push_back(std::move(view));
         } else if (request.unreachableDomains.contains(view.domain)) {
-            sorted.unreachableDomains.push_back(std::move(view));
+            classified.inUnreachableDomains.push_back(std::move(view));
         } else if (view.domain == settings_.domain) {
-            sorted.own.push_back(std::move(view));
+            classified.ownDomain.push_back(std::move(view));
         } else {
             view.predictedFirstToken += settings_.crossDomain;
-            sorted.others.push_back(std::move(view));
+            classified.otherDomains.push_back(std::move(view));
         }
     }
-    return sorted;
+    return classified;
 }
 
 // Without a probe a breaker would stay open as long as others are usable. With every request one, a whole failure
 // domain behind a cut would slow each of them down. So a few are, none of them urgent.
-std::optional<Choice> Selector::probe(const SelectRequest& request, const Sorted& sorted)
+std::optional<Choice> Selector::pickProbe(const SelectRequest& request, const Classified& classified)
 {
-    if (sorted.probes.empty()) {
+    if (classified.probes.empty()) {
         return std::nullopt;
     }
-    const bool alone = sorted.own.empty() && sorted.others.empty();
-    const bool drawn = request.priority != Priority::Interactive && random_() % 100 < settings_.probePercent;
-    if (!alone && !drawn) {
+    const bool noneUsable = classified.ownDomain.empty() && classified.otherDomains.empty();
+    const bool drawnAsProbe = request.priority != Priority::Interactive && random_() % 100 < settings_.probePercent;
+    if (!noneUsable && !drawnAsProbe) {
         return std::nullopt;
     }
-    const BackendView& view = sorted.probes[random_() % sorted.probes.size()];
+    const BackendView& view = classified.probes[random_() % classified.probes.size()];
     return Choice { view.backend, view.predictedFirstToken, "probe of an open breaker", {}, true };
 }
 
@@ -132,53 +133,54 @@
 // breakers of all of them at a router with little traffic, which then refuses what eight in nine servers would have
 // answered. One notices by `no_backend` with nothing but "broken" and "paused" in its detail. A breaker is there to
 // send requests to better servers; where there is none, one that answers at all is better than a refusal.
-Choice Selector::lastResort(const std::vector<BackendView>& heldBack)
+Choice Selector::pickLastResort(const std::vector<BackendView>& lastResorts)
 {
-    const auto best = std::min_element(heldBack.begin(), heldBack.end(),
+    const auto best = std::min_element(lastResorts.begin(), lastResorts.end(),
         [](const auto& left, const auto& right) { return left.inFlight < right.inFlight; });
     return { best->backend, best->predictedFirstToken, "all are held back; this one answers", {}, false };
 }
 
-Choice Selector::pickByDomain(const SelectRequest& request, const Sorted& sorted)
+Choice Selector::pickByDomain(const SelectRequest& request, const Classified& classified)
 {
     if (spansDomains(request)) {
-        std::vector<BackendView> all = sorted.own;
-        all.insert(all.end(), sorted.others.begin(), sorted.others.end());
+        std::vector<BackendView> all = classified.ownDomain;
+        all.insert(all.end(), classified.otherDomains.begin(), classified.otherDomains.end());
         return pick(request, all);
     }
-    if (sorted.own.empty()) {
-        Choice choice = pick(request, sorted.others);
+    if (classified.ownDomain.empty()) {
+        Choice choice = pick(request, classified.otherDomains);
         choice.reason += ", other domain: own has none to use";
         return choice;
     }
-    Choice own = pick(request, sorted.own);
-    if (own.predictedFirstToken <= settings_.domainOverload || sorted.others.empty()) {
-        own.reason += ", own domain";
-        return own;
+    Choice ownChoice = pick(request, classified.ownDomain);
+    if (ownChoice.predictedFirstToken <= settings_.domainOverload || classified.otherDomains.empty()) {
+        ownChoice.reason += ", own domain";
+        return ownChoice;
     }
-    Choice other = pick(request, sorted.others);
-    if (other.predictedFirstToken * 100 < own.predictedFirstToken * betterByPercent) {
-        other.reason += ", other domain: own is overloaded";
-        return other;
+    Choice otherChoice = pick(request, classified.otherDomains);
+    if (otherChoice.predictedFirstToken * 100 < ownChoice.predictedFirstToken * maxOtherDomainPercent) {
+        otherChoice.reason += ", other domain: own is overloaded";
+        return otherChoice;
     }
-    own.reason += ", own domain: others no better";
-    return own;
+    ownChoice.reason += ", own domain: others no better";
+    return ownChoice;
 }
 
-void Selector::explain(const Sorted& sorted, Instant now)
+void Selector::explainNoChoice(const Classified& classified, Instant now)
 {
-    if (!sorted.full.empty()) {
+    if (!classified.full.empty()) {
         noChoice_ = NoChoice::AllFull;
-        const auto soonest = std::min_element(sorted.full.begin(), sorted.full.end(),
+        const auto earliest = std::min_element(classified.full.begin(), classified.full.end(),
             [](const auto& left, const auto& right) { return left.predictedFirstToken < right.predictedFirstToken; });
-        retryAfter_ = std::max(soonest->predictedFirstToken, shortestRetry);
-        lastReason_ = std::to_string(sorted.full.size()) + " full";
-        lastReason_ += sorted.unusable.empty() ? "" : ", " + join(sorted.unusable);
+        retryAfter_ = std::max(earliest->predictedFirstToken, minRetryAfter);
+        lastReason_ = std::to_string(classified.full.size()) + " full";
+        lastReason_ += classified.unusable.empty() ? "" : ", " + join(classified.unusable);
         return;
     }
     noChoice_ = NoChoice::NoBackend;
-    retryAfter_ = sorted.usableAt ? std::max<Duration>(*sorted.usableAt - now, shortestRetry) : defaultRetry;
-    lastReason_ = sorted.unusable.empty() ? "the service has no backend server" : join(sorted.unusable);
+    retryAfter_
+        = classified.usableAt ? std::max<Duration>(*classified.usableAt - now, minRetryAfter) : defaultRetryAfter;
+    lastReason_ = classified.unusable.empty() ? "the service has no backend server" : join(classified.unusable);
 }
 
 std::unique_ptr<Selector> makeSelector(std::string_view name, SelectorSettings settings)
