--- a/include/swiftlift/routing/Admission.h
+++ b/include/swiftlift/routing/Admission.h
@@ -82,6 +82,7 @@
 private:
     /** @return Predicted time in the queue; zero before a drain rate was measured. */
     [[nodiscard]] Duration predictedWait(const WaitingCall& call, Instant now) const;
+    /** @return Assumed minimum time to first token: half of the average. */
     [[nodiscard]] Duration minFirstToken() const noexcept { return firstToken_ / 2; }
 
     FairQueue queue_;
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -10,11 +10,14 @@
 
     using namespace std::chrono_literals;
 
+    // Assumed time to first token at a backend server until one has been measured.
     constexpr Duration assumedFirstToken = 20ms;
+    // A new sample has a weight of 1/8.
     constexpr int firstTokenSmoothing = 8;
-    constexpr Duration shortestRetry = 50ms;
-    constexpr Duration longestRetry = 30s;
-    constexpr Duration unknownRetry = 1s;
+    constexpr Duration minRetryAfter = 50ms;
+    constexpr Duration maxRetryAfter = 30s;
+    // Before a drain rate was measured.
+    constexpr Duration defaultRetryAfter = 1s;
 
     [[nodiscard]] std::string milliseconds(Duration time)
     {
@@ -24,8 +27,8 @@
     [[nodiscard]] Duration timeFor(Tokens tokens, double rate)
     {
         const double seconds = static_cast<double>(tokens.value()) / std::max(rate, 1.0);
-        const double most = std::chrono::duration<double>(longestRetry).count() * 10;
-        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(seconds, most)));
+        const double maxSeconds = std::chrono::duration<double>(maxRetryAfter).count() * 10;
+        return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(seconds, maxSeconds)));
     }
 
 } // namespace
@@ -38,34 +41,34 @@
 
 AdmissionDecision Admission::admit(const WaitingCall& call, std::optional<Duration> firstToken, Instant now)
 {
-    AdmissionDecision admitted;
-    // A request that went straight on while others wait would pass them, whatever their accounts' shares.
+    AdmissionDecision decision;
+    // If calls wait, a new request has to wait as well: it would overtake them regardless of their accounts' shares.
     const bool waits = !firstToken || queue_.size() > 0;
     const Duration wait = waits ? predictedWait(call, now) : Duration {};
-    admitted.predictedFirstToken = wait + firstToken.value_or(firstToken_);
-    if (now + admitted.predictedFirstToken > call.deadline) {
-        admitted.refusal = AdmissionRefusal::DeadlineTooShort;
-        admitted.retryAfter = retryAfter(call.account, call.weight, now);
-        admitted.detail = "first token expected in " + milliseconds(admitted.predictedFirstToken) + ", deadline in "
+    decision.predictedFirstToken = wait + firstToken.value_or(firstToken_);
+    if (now + decision.predictedFirstToken > call.deadline) {
+        decision.refusal = AdmissionRefusal::DeadlineTooShort;
+        decision.retryAfter = retryAfter(call.account, call.weight, now);
+        decision.detail = "first token expected in " + milliseconds(decision.predictedFirstToken) + ", deadline in "
             + milliseconds(call.deadline - now);
-        return admitted;
+        return decision;
     }
     if (!waits) {
-        admitted.verdict = AdmissionVerdict::Dispatch;
-        return admitted;
+        decision.verdict = AdmissionVerdict::Dispatch;
+        return decision;
     }
     PushResult pushed = queue_.push(call, now);
     if (!pushed.accepted) {
-        admitted.refusal = queue_.overShare(call.account, call.weight) ? AdmissionRefusal::AccountOverShare
+        decision.refusal = queue_.overShare(call.account, call.weight) ? AdmissionRefusal::AccountOverShare
                                                                        : AdmissionRefusal::Overloaded;
-        admitted.retryAfter = retryAfter(call.account, call.weight, now);
-        admitted.detail = std::to_string(queue_.sizeOf(call.account)) + " of " + std::to_string(queue_.size())
-            + " waiting are this account's";
-        return admitted;
+        decision.retryAfter = retryAfter(call.account, call.weight, now);
+        decision.detail = std::to_string(queue_.sizeOf(call.account)) + " of " + std::to_string(queue_.size())
+            + " waiting calls are of this account";
+        return decision;
     }
-    admitted.verdict = AdmissionVerdict::Wait;
-    admitted.displaced = std::move(pushed.displaced);
-    return admitted;
+    decision.verdict = AdmissionVerdict::Wait;
+    decision.displaced = std::move(pushed.displaced);
+    return decision;
 }
 
 Duration Admission::predictedWait(const WaitingCall& call, Instant now) const
@@ -85,9 +88,9 @@
 {
     const std::optional<double> rate = queue_.drainRate(now);
     if (!rate) {
-        return unknownRetry;
+        return defaultRetryAfter;
     }
-    return std::clamp(timeFor(queue_.aheadOf(account, weight, Priority::Batch), *rate), shortestRetry, longestRetry);
+    return std::clamp(timeFor(queue_.aheadOf(account, weight, Priority::Batch), *rate), minRetryAfter, maxRetryAfter);
 }
 
 const char* toText(AdmissionRefusal refusal) noexcept
--- a/src/routing/Backend.cpp
+++ b/src/routing/Backend.cpp
@@ -10,11 +10,13 @@
 
     using namespace std::chrono_literals;
 
+    // A new sample has a weight of 1/5.
     constexpr int offsetSmoothing = 5;
-    constexpr Duration largestOffset = 2s;
-    // A slow backend server gets no requests, so nothing would show that it is quick again; the offset fades by itself.
+    constexpr Duration maxOffset = 2s;
+    // A slow backend server gets no requests that could show that it has become fast again, so the offset decays.
     constexpr Duration offsetHalfLife = 5s;
-    constexpr std::int64_t longestFade = 20;
+    // Bounds the shift by which the offset is divided.
+    constexpr std::int64_t maxHalvings = 20;
 
 } // namespace
 
@@ -29,9 +31,9 @@
 {
 }
 
-// What goes wrong: a server that starts again under its id has an empty cache, closed connections and counts that start
-// anew. Judged by its former life it would get prompts for prefixes that it no longer has, wait out a breaker that its
-// crash opened, or be left alone since it once said that it was leaving.
+// A server that restarts under the same id has an empty cache, no connections and no requests. With the state of its
+// former instance it would get prompts for prefixes that it no longer caches, stay behind a breaker that its crash
+// opened, or get no requests because the former instance announced that it was leaving.
 void Backend::setEntry(const BackendEntry& entry, Instant now)
 {
     entry_.domain = entry.domain;
@@ -46,9 +48,9 @@
     unread_ = Tokens {};
     generation_.reset();
     reported_ = false;
-    missed_ = false;
+    lastPollFailed_ = false;
     answers_ = true;
-    startAnew(now);
+    resetForRestart(now);
 }
 
 void Backend::onLoad(const LoadReport& report, Instant now)
@@ -57,19 +59,19 @@
         return;
     }
     if (generation_ && report.generation > *generation_) {
-        startAnew(now);
+        resetForRestart(now);
     }
     generation_ = report.generation;
-    if (std::exchange(missed_, false)) {
-        breaker_.hasten(now);
+    if (std::exchange(lastPollFailed_, false)) {
+        breaker_.allowProbe(now);
     }
     reported_ = true;
     models_ = { report.models.begin(), report.models.end() };
     load_.onReport(report, now);
-    noteLeaving(report, now);
+    updateLeaving(report, now);
 }
 
-void Backend::startAnew(Instant now)
+void Backend::resetForRestart(Instant now)
 {
     leaving_.reset();
     cache_.clear();
@@ -79,27 +81,27 @@
     offset_ = {};
 }
 
-// A report shows the past: one from before the backend server said that it is leaving must not bring it back. Only a
-// new start does, or reports that go on to deny it for a long while.
-void Backend::noteLeaving(const LoadReport& report, Instant now)
+// A load report may have been made before the backend server announced that it is leaving, and must not make it usable
+// again. Only a restart does, or load reports that don't confirm the announcement for `leavingHold`.
+void Backend::updateLeaving(const LoadReport& report, Instant now)
 {
     if (report.leaving) {
-        leaving_ = Leaving { now, report.generation };
+        leaving_ = LeavingState { now, report.generation };
         return;
     }
     if (leaving_ && !leaving_->generation) {
         leaving_->generation = report.generation;
     }
-    if (leaving_ && now - leaving_->lastSign > settings_.leavingHold) {
-        startAnew(now);
+    if (leaving_ && now - leaving_->lastAnnounced > settings_.leavingHold) {
+        resetForRestart(now);
     }
 }
 
-void Backend::onLeaving(Instant now) { leaving_ = Leaving { now, generation_ }; }
+void Backend::onLeaving(Instant now) { leaving_ = LeavingState { now, generation_ }; }
 
 void Backend::onLoadMissed(Instant now)
 {
-    missed_ = true;
+    lastPollFailed_ = true;
     answers_ = false;
     breaker_.onFailure(std::nullopt, now);
 }
@@ -107,7 +109,7 @@
 void Backend::onDispatched(AttemptId attempt, const DispatchFacts& facts, Instant now)
 {
     const Tokens uncached = facts.promptTokens - cache_.expected(facts.prefixHash, facts.promptTokens);
-    sent_[attempt] = Sent { facts, now, uncached, predict(uncached, now), load_.now(now).waiting > 0 };
+    sent_[attempt] = SentAttempt { facts, now, uncached, predict(uncached, now), load_.now(now).waiting > 0 };
     unread_ += uncached;
     load_.onDispatched(attempt, now);
     breaker_.onDispatched(attempt, now);
@@ -119,8 +121,8 @@
     if (found == sent_.end() || found->second.answered) {
         return;
     }
-    Sent& sent = found->second;
-    noteRead(sent);
+    SentAttempt& sent = found->second;
+    subtractUnread(sent);
     sent.answered = true;
     breaker_.onSuccess(now);
     const Duration took = now - sent.at;
@@ -128,13 +130,13 @@
         prefill_->add(sent.uncached, took);
     }
     offset_ = offset(now) + (took - sent.predicted - offset(now)) / offsetSmoothing;
-    offset_ = std::clamp(offset_, Duration {}, largestOffset);
+    offset_ = std::clamp(offset_, Duration {}, maxOffset);
     offsetAt_ = now;
     const Duration error = std::chrono::abs(took - sent.facts.predictedFirstToken);
     predictionError_ += (error - predictionError_) / offsetSmoothing;
 }
 
-void Backend::noteRead(const Sent& sent)
+void Backend::subtractUnread(const SentAttempt& sent)
 {
     if (!sent.answered) {
         unread_ -= sent.uncached;
@@ -147,17 +149,17 @@
     if (found == sent_.end()) {
         return;
     }
-    const Sent sent = found->second;
-    noteRead(sent);
+    const SentAttempt sent = found->second;
+    subtractUnread(sent);
     sent_.erase(found);
     (void)load_.onFinished(attempt, facts.kind == EndKind::Completed, now);
     if (facts.kind == EndKind::Completed && facts.promptTokens > Tokens {}) {
         cache_.onAnswer(sent.facts.prefixHash, facts.promptTokens, facts.cachedPromptTokens);
     }
-    noteEnd(attempt, facts, now);
+    processEnd(attempt, facts, now);
 }
 
-void Backend::noteEnd(AttemptId attempt, const FinishFacts& facts, Instant now)
+void Backend::processEnd(AttemptId attempt, const FinishFacts& facts, Instant now)
 {
     switch (facts.kind) {
     case EndKind::Completed:
@@ -169,7 +171,7 @@
         breaker_.onFailure(attempt, now);
         break;
     case EndKind::Leaving:
-        breaker_.onNothingLearnt(attempt);
+        breaker_.onInconclusiveEnd(attempt);
         onLeaving(now);
         break;
     case EndKind::Broken:
@@ -177,16 +179,16 @@
         breaker_.onFailure(attempt, now);
         break;
     case EndKind::Cancelled:
-        breaker_.onNothingLearnt(attempt);
+        breaker_.onInconclusiveEnd(attempt);
         break;
     case EndKind::NotStarted:
         pausedUntil_ = now + settings_.fullPause;
-        // "Full" is not a fault: breakers that open under overload would shrink what is left. But one that doesn't
-        // answer its polls either refused the connection, not the request.
-        if (missed_ || (settings_.polled && !reported_)) {
+        // A full backend server has not failed: breakers that open under overload would reduce the remaining capacity.
+        // But a backend server that doesn't answer polls either has refused the connection rather than the request.
+        if (lastPollFailed_ || (settings_.polled && !reported_)) {
             breaker_.onFailure(attempt, now);
         }
-        breaker_.onNothingLearnt(attempt);
+        breaker_.onInconclusiveEnd(attempt);
         break;
     }
 }
@@ -238,13 +240,13 @@
 Duration Backend::predict(Tokens uncached, Instant now) const
 {
     const LoadNow load = load_.now(now);
-    const Duration queue = load_.hold() * load.waiting / load_.slots();
+    const Duration queue = load_.serviceTime() * load.waiting / load_.slots();
     return load_.step() + queue + prefill_->cost(uncached);
 }
 
 Duration Backend::offset(Instant now) const
 {
-    const std::int64_t halvings = std::min((now - offsetAt_) / offsetHalfLife, longestFade);
+    const std::int64_t halvings = std::min((now - offsetAt_) / offsetHalfLife, maxHalvings);
     return offset_ / (std::int64_t { 1 } << halvings);
 }
 
--- a/src/routing/Backend.h
+++ b/src/routing/Backend.h
@@ -16,12 +16,13 @@
 
 namespace swiftlift::routing {
 
-/** @brief One backend server as this router knows it. */
+/** @brief Estimated state of one backend server; the entry of BackendTable. */
 class Backend {
 public:
     Backend(BackendEntry entry, const TableSettings& settings, PrefillModel& prefill, PrefixLengths& lengths,
         std::uint64_t seed);
 
+    // The notifications are those of BackendTable.
     void onLoad(const LoadReport& report, Instant now);
     void onLoadMissed(Instant now);
     void onCacheEvents(const std::vector<CacheNotice>& events) { cache_.onEvents(events); }
@@ -31,39 +32,53 @@
     void onLeaving(Instant now);
 
     [[nodiscard]] BackendView view(const ViewRequest& request, Instant now) const;
+    /** @return The models of the last load report. */
     [[nodiscard]] const std::set<std::string>& models() const noexcept { return models_; }
+    /** @return True if no attempt of this router is in progress there. */
     [[nodiscard]] bool idle() const noexcept { return load_.inFlight() == 0; }
+    /** @param count Maximum number of prefixes to remember. */
     void setPrefixesKept(std::size_t count) { cache_.setCapacity(count); }
-    /** @param entry What is told of it now; another life makes all that was learnt of the one before void. */
+    /** @brief Updates the entry of the service's document. A new instance resets everything learnt about the last one.
+     */
     void setEntry(const BackendEntry& entry, Instant now);
 
 private:
-    struct Sent {
+    /** @brief An attempt of this router in progress. */
+    struct SentAttempt {
         DispatchFacts facts;
         Instant at;
+        /** Prompt tokens that were expected not to be cached. */
         Tokens uncached;
-        /** Without the measured offset. */
+        /** Predicted time to first token, without `offset_`. */
         Duration predicted {};
+        /** Requests waited at the backend server when the attempt was sent. */
         bool waited = false;
+        /** The first token has arrived. */
         bool answered = false;
     };
 
-    struct Leaving {
-        Instant lastSign;
+    /** @brief The backend server announced that it is leaving. */
+    struct LeavingState {
+        Instant lastAnnounced;
+        /** Generation that announced it; nothing until a load report has shown it. */
         std::optional<std::uint64_t> generation;
     };
 
-    void startAnew(Instant now);
-    /** Its prompt is read, or never will be. */
-    void noteRead(const Sent& sent);
-    void noteLeaving(const LoadReport& report, Instant now);
-    void noteEnd(AttemptId attempt, const FinishFacts& facts, Instant now);
+    /** @brief Resets what a restart of the backend server makes void, and begins a slow start. */
+    void resetForRestart(Instant now);
+    /** @brief Subtracts the attempt's prompt from `unread_` unless its first token has arrived: the prompt has been
+     * prefilled, or never will be. */
+    void subtractUnread(const SentAttempt& sent);
+    void updateLeaving(const LoadReport& report, Instant now);
+    void processEnd(AttemptId attempt, const FinishFacts& facts, Instant now);
     [[nodiscard]] BackendState state(Instant now) const;
     [[nodiscard]] bool paused(Instant now) const;
     [[nodiscard]] bool usable(Instant now) const;
     [[nodiscard]] bool lastResort(Instant now) const;
     [[nodiscard]] std::optional<Instant> usableAt(Instant now) const;
+    /** @return Predicted time to first token without the measured offset, for this many uncached prompt tokens. */
     [[nodiscard]] Duration predict(Tokens uncached, Instant now) const;
+    /** @return `offset_`, decayed since it was updated last. */
     [[nodiscard]] Duration offset(Instant now) const;
 
     BackendEntry entry_;
@@ -72,19 +87,24 @@
     LoadEstimate load_;
     PrefixCache cache_;
     Breaker breaker_;
-    std::map<AttemptId, Sent> sent_;
-    /** Sum over `sent_` of what has no answer yet. */
+    std::map<AttemptId, SentAttempt> sent_;
+    /** Sum of the uncached prompt tokens of attempts in `sent_` without a first token. */
     Tokens unread_;
     std::set<std::string> models_;
+    /** A load report has arrived. */
     bool reported_ = false;
+    /** Generation of the last load report. */
     std::optional<std::uint64_t> generation_;
-    std::optional<Leaving> leaving_;
-    bool missed_ = false;
-    /** The last attempt that told anything was answered, be it with a failure. */
+    std::optional<LeavingState> leaving_;
+    /** The last poll for a load report failed. */
+    bool lastPollFailed_ = false;
+    /** False after an attempt broke or a poll failed, until an attempt is answered, even with a failure. */
     bool answers_ = true;
+    /** The backend server refused a request as full; nothing is sent until then. */
     std::optional<Instant> pausedUntil_;
-    /** Mean of how much later first tokens come than predicted. */
+    /** Moving average of how much later than predicted first tokens arrive. */
     Duration offset_ {};
+    /** When `offset_` was updated last. */
     Instant offsetAt_ {};
     Duration predictionError_ {};
 };
--- a/src/routing/BackendTable.cpp
+++ b/src/routing/BackendTable.cpp
@@ -24,8 +24,8 @@
     std::set<BackendId> ids;
     for (const BackendEntry& entry : backends) {
         ids.insert(entry.backend);
-        if (Backend* known = find(entry.backend)) {
-            known->setEntry(entry, now);
+        if (Backend* found = find(entry.backend)) {
+            found->setEntry(entry, now);
             continue;
         }
         const std::uint64_t seed = settings_.seed ^ std::hash<BackendId> {}(entry.backend);
@@ -65,7 +65,8 @@
     for (const auto& [service, ids] : services_) {
         used.insert(ids.begin(), ids.end());
     }
-    // One that still has requests of this router keeps its record, so that its load is right if it comes back.
+    // A backend server that still runs attempts of this router stays in the table, so that its load is right if a
+    // service lists it again.
     std::erase_if(backends_, [&](const auto& entry) { return !used.contains(entry.first) && entry.second->idle(); });
     hasUnlistedBackends_ = backends_.size() > used.size();
 }
@@ -78,50 +79,50 @@
 
 void BackendTable::onLoad(const BackendId& backend, const LoadReport& report, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onLoad(report, now);
+    if (Backend* found = find(backend)) {
+        found->onLoad(report, now);
     }
 }
 
 void BackendTable::onLoadMissed(const BackendId& backend, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onLoadMissed(now);
+    if (Backend* found = find(backend)) {
+        found->onLoadMissed(now);
     }
 }
 
 void BackendTable::onCacheEvents(const BackendId& backend, const std::vector<CacheNotice>& events, Instant /*now*/)
 {
-    if (Backend* known = find(backend)) {
-        known->onCacheEvents(events);
+    if (Backend* found = find(backend)) {
+        found->onCacheEvents(events);
     }
 }
 
 void BackendTable::onDispatched(const BackendId& backend, AttemptId attempt, const DispatchFacts& facts, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onDispatched(attempt, facts, now);
+    if (Backend* found = find(backend)) {
+        found->onDispatched(attempt, facts, now);
     }
 }
 
 void BackendTable::onFirstToken(const BackendId& backend, AttemptId attempt, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onFirstToken(attempt, now);
+    if (Backend* found = find(backend)) {
+        found->onFirstToken(attempt, now);
     }
 }
 
 void BackendTable::onFinished(const BackendId& backend, AttemptId attempt, const FinishFacts& facts, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onFinished(attempt, facts, now);
+    if (Backend* found = find(backend)) {
+        found->onFinished(attempt, facts, now);
     }
 }
 
 void BackendTable::onLeaving(const BackendId& backend, Instant now)
 {
-    if (Backend* known = find(backend)) {
-        known->onLeaving(now);
+    if (Backend* found = find(backend)) {
+        found->onLeaving(now);
     }
 }
 
@@ -141,11 +142,11 @@
 
 std::optional<BackendView> BackendTable::view(const BackendId& backend, const ViewRequest& request, Instant now) const
 {
-    const Backend* known = find(backend);
-    if (known == nullptr) {
+    const Backend* found = find(backend);
+    if (found == nullptr) {
         return std::nullopt;
     }
-    return known->view(request, now);
+    return found->view(request, now);
 }
 
 std::vector<BackendId> BackendTable::backends() const
@@ -168,11 +169,11 @@
 
 std::vector<std::string> BackendTable::modelsOf(const BackendId& backend) const
 {
-    const Backend* known = find(backend);
-    if (known == nullptr) {
+    const Backend* found = find(backend);
+    if (found == nullptr) {
         return {};
     }
-    return { known->models().begin(), known->models().end() };
+    return { found->models().begin(), found->models().end() };
 }
 
 } // namespace swiftlift::routing
--- a/src/routing/Breaker.cpp
+++ b/src/routing/Breaker.cpp
@@ -5,12 +5,12 @@
 namespace swiftlift::routing {
 
 Breaker::Breaker(const TableSettings& settings, std::uint64_t seed)
-    : firstOpen_(settings.breakerFirstOpen)
-    , longestOpen_(settings.breakerLongestOpen)
-    , slowStart_(settings.slowStart)
+    : firstOpenTime_(settings.breakerFirstOpen)
+    , maxOpenTime_(settings.breakerLongestOpen)
+    , slowStartTime_(settings.slowStart)
     , failuresToOpen_(settings.breakerFailures)
     , random_(seed)
-    , nextOpen_(settings.breakerFirstOpen)
+    , nextOpenTime_(settings.breakerFirstOpen)
 {
 }
 
@@ -21,14 +21,15 @@
         restart(now);
         return;
     }
-    // The open time grows over a flapping backend server; one that has held out for a slow start is whole again.
+    // The open time keeps growing for a backend server that fails again and again during its slow start; a success
+    // after the slow start resets it.
     if (!slowStart(now)) {
-        nextOpen_ = firstOpen_;
+        nextOpenTime_ = firstOpenTime_;
     }
 }
 
-// Requests sent before the breaker opened go on failing for a while. Taken for the probe's failure, they would keep a
-// backend server out that has come back.
+// Attempts that were sent before the breaker opened may fail later. If their failures counted as the probe's, the
+// breaker of a backend server that works again would stay open.
 void Breaker::onFailure(std::optional<AttemptId> attempt, Instant now)
 {
     if (openUntil_) {
@@ -43,14 +44,15 @@
     }
 }
 
-// Routers that saw the same failure would all probe at the same moment; the jitter spreads them.
+// The jitter, from 3/4 to 5/4 of the open time, keeps routers that met the same failure from probing at the same
+// moment.
 void Breaker::trip(Instant now)
 {
-    const auto spread = static_cast<std::uint64_t>(nextOpen_.count() / 2 + 1);
-    openUntil_ = now + nextOpen_ * 3 / 4 + Duration { static_cast<Duration::rep>(random_() % spread) };
-    nextOpen_ = std::min(nextOpen_ * 2, longestOpen_);
+    const auto jitterRange = static_cast<std::uint64_t>(nextOpenTime_.count() / 2 + 1);
+    openUntil_ = now + nextOpenTime_ * 3 / 4 + Duration { static_cast<Duration::rep>(random_() % jitterRange) };
+    nextOpenTime_ = std::min(nextOpenTime_ * 2, maxOpenTime_);
     probe_.reset();
-    slowFrom_.reset();
+    slowStartBegan_.reset();
     failures_ = 0;
 }
 
@@ -61,14 +63,14 @@
     }
 }
 
-void Breaker::onNothingLearnt(AttemptId attempt)
+void Breaker::onInconclusiveEnd(AttemptId attempt)
 {
     if (probe_ == attempt) {
         probe_.reset();
     }
 }
 
-void Breaker::hasten(Instant now)
+void Breaker::allowProbe(Instant now)
 {
     if (openUntil_) {
         openUntil_ = std::min(*openUntil_, now);
@@ -80,23 +82,23 @@
     failures_ = 0;
     openUntil_.reset();
     probe_.reset();
-    slowFrom_ = now;
+    slowStartBegan_ = now;
 }
 
 bool Breaker::open(Instant now) const { return openUntil_ && (now < *openUntil_ || probe_); }
 
 bool Breaker::mayProbe(Instant now) const { return openUntil_ && now >= *openUntil_ && !probe_; }
 
-bool Breaker::slowStart(Instant now) const { return slowFrom_ && now - *slowFrom_ < slowStart_; }
+bool Breaker::slowStart(Instant now) const { return slowStartBegan_ && now - *slowStartBegan_ < slowStartTime_; }
 
 std::uint32_t Breaker::allowed(std::uint32_t slots, Instant now) const
 {
     if (!slowStart(now)) {
         return UINT32_MAX;
     }
-    const auto passed = static_cast<std::uint64_t>((now - *slowFrom_).count());
-    const auto whole = static_cast<std::uint64_t>(slowStart_.count());
-    return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(slots * passed / whole));
+    const auto passed = static_cast<std::uint64_t>((now - *slowStartBegan_).count());
+    const auto total = static_cast<std::uint64_t>(slowStartTime_.count());
+    return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(slots * passed / total));
 }
 
 } // namespace swiftlift::routing
--- a/src/routing/Breaker.h
+++ b/src/routing/Breaker.h
@@ -11,45 +11,62 @@
 namespace swiftlift::routing {
 
 /**
- * @brief Keeps traffic off a backend server that fails: closed, open for a growing time, one probe, slow start.
+ * @brief Circuit breaker of one backend server.
+ *
+ * Consecutive failures open the breaker for a time that doubles with each failed probe. Then one request is let through
+ * as a probe; its success closes the breaker and begins a slow start.
  */
 class Breaker {
 public:
     Breaker(const TableSettings& settings, std::uint64_t seed);
 
+    /** @brief Records an answer of the backend server. */
     void onSuccess(Instant now);
-    /** @param attempt The one that failed; nothing: a poll. While open, only the probe's failure counts. */
+    /**
+     * @brief Records a failure. While the breaker is open, only the failure of the probe counts.
+     * @param attempt The attempt that failed; nothing for a poll.
+     * @param now The current time.
+     */
     void onFailure(std::optional<AttemptId> attempt, Instant now);
+    /** @brief Records that an attempt was sent; it becomes the probe if a probe is due. */
     void onDispatched(AttemptId attempt, Instant now);
-    /** @brief The attempt ended without telling anything about the backend server. */
-    void onNothingLearnt(AttemptId attempt);
-    /** @brief It answers its polls again after it did not: the probe need not wait any longer. */
-    void hasten(Instant now);
-    /** @brief It started anew: slow start, whatever was before. */
+    /** @brief Records that an attempt ended without showing whether the backend server works. */
+    void onInconclusiveEnd(AttemptId attempt);
+    /** @brief Makes a probe possible at once, after the backend server answered a poll again. */
+    void allowProbe(Instant now);
+    /** @brief Closes the breaker and begins a slow start, after the backend server restarted or the probe succeeded. */
     void restart(Instant now);
 
+    /** @return True if no request may be sent: the breaker is open, or its probe is in progress. */
     [[nodiscard]] bool open(Instant now) const;
-    /** @return True when the next request is the one probe. */
+    /** @return True if the next request will be the probe. */
     [[nodiscard]] bool mayProbe(Instant now) const;
+    /** @return True if the probe is in progress. */
     [[nodiscard]] bool probing() const noexcept { return probe_.has_value(); }
+    /** @return When a probe may be sent; nothing if the breaker is closed. */
     [[nodiscard]] std::optional<Instant> openUntil() const noexcept { return openUntil_; }
+    /** @return True during the slow start. */
     [[nodiscard]] bool slowStart(Instant now) const;
-    /** @return How many of `slots` may be used now, at least one. */
+    /** @return How many of `slots` may be used now: at least one; unlimited after the slow start. */
     [[nodiscard]] std::uint32_t allowed(std::uint32_t slots, Instant now) const;
 
 private:
     void trip(Instant now);
 
-    Duration firstOpen_;
-    Duration longestOpen_;
-    Duration slowStart_;
+    Duration firstOpenTime_;
+    Duration maxOpenTime_;
+    Duration slowStartTime_;
     std::uint32_t failuresToOpen_;
     std::mt19937_64 random_;
+    /** Consecutive failures. */
     std::uint32_t failures_ = 0;
-    Duration nextOpen_;
+    /** How long the breaker stays open when it opens next, apart from jitter. */
+    Duration nextOpenTime_;
     std::optional<Instant> openUntil_;
+    /** The attempt that is the probe in progress. */
     std::optional<AttemptId> probe_;
-    std::optional<Instant> slowFrom_;
+    /** When the last slow start began; reset when the breaker opens. */
+    std::optional<Instant> slowStartBegan_;
 };
 
 } // namespace swiftlift::routing
--- a/src/routing/FairQueue.cpp
+++ b/src/routing/FairQueue.cpp
@@ -10,9 +10,11 @@
 
     using namespace std::chrono_literals;
 
-    // Keeps fractions of a token per weight.
+    // Virtual time units per token, so that tokens divided by a weight keep fractions.
     constexpr std::uint64_t virtualScale = 1024;
+    // Time over which the drain rate is measured.
     constexpr Duration drainWindow = 1s;
+    // Weight of a new sample of the drain rate.
     constexpr double drainSmoothing = 0.3;
 
     [[nodiscard]] std::uint64_t virtualCost(const WaitingCall& call)
@@ -30,8 +32,8 @@
 
 PushResult FairQueue::push(const WaitingCall& call, Instant now)
 {
-    assert(call.weight > 0 && "an account without a share is never served");
-    assert(!calls_.contains(call.call) && "a call waits once");
+    assert(call.weight > 0 && "an account of weight 0 would never be served");
+    assert(!calls_.contains(call.call) && "the call is in the queue already");
     PushResult result;
     if (maxWaiting_ == 0) {
         return result;
@@ -45,7 +47,7 @@
         erase(last);
         result.displaced.push_back(last);
     }
-    // The time before, with nothing to drain, is not counted: it would look like a queue that stands still.
+    // The drain rate leaves out the time in which the queue was empty, which would look like a queue that stands still.
     if (calls_.empty()) {
         drainSince_ = now;
         drained_ = 0;
@@ -64,7 +66,8 @@
     return result;
 }
 
-// A full queue in order of arrival would be filled by whoever sends most; the others would be refused for it.
+// If a full queue refused every new call, the account that sends most would fill the queue, and the calls of all others
+// would be refused.
 AccountId FairQueue::accountMostOverShare(const AccountId& newcomer, std::uint32_t weight) const
 {
     AccountId most = newcomer;
@@ -138,8 +141,8 @@
     calls_.erase(call);
 }
 
-// An account that has been served ahead of the others keeps its place while it has nothing waiting: else it would jump
-// the queue by sending one call at a time.
+// Keeps the start time of accounts without waiting calls that were served ahead of their share: otherwise an account
+// could get more than its share by sending one call at a time.
 void FairQueue::eraseIdleLines()
 {
     std::erase_if(
@@ -181,7 +184,7 @@
             own += key.first <= priority ? calls_.at(call).call.cost : Tokens {};
         }
     }
-    // While the own line is served, each other account gets at most its share of the same time.
+    // While this account's calls are served, each other account gets at most its share of the same time.
     Tokens ahead = own;
     for (const auto& [other, line] : lines_) {
         if (other != account) {
@@ -204,7 +207,7 @@
 std::optional<double> FairQueue::drainRate(Instant now) const
 {
     const Duration since = now - drainSince_;
-    // A queue that has stopped moving must not go by the rate of better times.
+    // A queue that no longer drains must not be estimated by its earlier rate.
     if (drainRate_ && !calls_.empty() && since > 2 * drainWindow) {
         const double seconds = std::chrono::duration<double>(since).count();
         return std::min(*drainRate_, std::max(drained_, 1.0) / seconds);
--- a/src/routing/LoadEstimate.cpp
+++ b/src/routing/LoadEstimate.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-    // Weight of a new sample: one in eight.
-    constexpr int holdSmoothing = 8;
+    // A new sample has a weight of 1/8.
+    constexpr int serviceTimeSmoothing = 8;
 
 } // namespace
 
 LoadEstimate::LoadEstimate(const TableSettings& settings, std::uint32_t slots)
-    : lag_(settings.reportLag)
-    , lifetime_(settings.reportLifetime)
+    : reportLag_(settings.reportLag)
+    , reportLifetime_(settings.reportLifetime)
     , slots_(std::max<std::uint32_t>(slots > 0 ? slots : settings.assumedSlots, 1))
-    , hold_(settings.assumedHold)
+    , serviceTime_(settings.assumedHold)
     , step_(settings.assumedStep)
 {
 }
@@ -27,10 +27,10 @@
     if (report.step > Duration {}) {
         step_ = report.step;
     }
-    // Only a backend server that lets requests wait shows how many it runs at once.
+    // A load report shows how many requests the backend server runs at once only if requests wait there.
     slots_ = report.waiting > 0 ? std::max<std::uint32_t>(report.running, 1) : std::max(slots_, report.running);
-    const Instant shown = now - lag_;
-    std::erase_if(finished_, [&](const Finished& finished) { return finished.ended <= shown; });
+    const Instant reportedMoment = now - reportLag_;
+    std::erase_if(finished_, [&](const FinishedAttempt& finished) { return finished.ended <= reportedMoment; });
 }
 
 void LoadEstimate::onDispatched(AttemptId attempt, Instant now) { running_[attempt] = now; }
@@ -44,11 +44,11 @@
     const Instant sent = found->second;
     running_.erase(found);
     if (reportedAt_) {
-        finished_.push_back(Finished { sent, now });
+        finished_.push_back(FinishedAttempt { sent, now });
     }
     const Duration ran = now - sent;
     if (completed) {
-        hold_ += (ran - hold_) / holdSmoothing;
+        serviceTime_ += (ran - serviceTime_) / serviceTimeSmoothing;
     }
     return ran;
 }
@@ -60,19 +60,19 @@
     reportedAt_.reset();
 }
 
-// Reports are some hundred milliseconds old. Between two of them a router that believed them would send everything to
-// the backend server that looked best in the last one.
+// Load reports are some hundred milliseconds old. A router that relied on them alone would send all requests between
+// two reports to the backend server that looked best in the first.
 LoadNow LoadEstimate::now(Instant now) const
 {
     std::int64_t total = inFlight();
-    if (reportedAt_ && now - *reportedAt_ <= lifetime_) {
-        const Instant shown = *reportedAt_ - lag_;
+    if (reportedAt_ && now - *reportedAt_ <= reportLifetime_) {
+        const Instant reportedMoment = *reportedAt_ - reportLag_;
         total = reported_;
         for (const auto& [attempt, sent] : running_) {
-            total += sent > shown ? 1 : 0;
+            total += sent > reportedMoment ? 1 : 0;
         }
-        for (const Finished& finished : finished_) {
-            total -= finished.sent <= shown && finished.ended > shown ? 1 : 0;
+        for (const FinishedAttempt& finished : finished_) {
+            total -= finished.sent <= reportedMoment && finished.ended > reportedMoment ? 1 : 0;
         }
     }
     total = std::max<std::int64_t>(total, inFlight());
--- a/src/routing/PrefillModel.cpp
+++ b/src/routing/PrefillModel.cpp
@@ -6,11 +6,14 @@
 
 namespace {
 
+    // Weight of a new sample once there are many.
     constexpr double sampleWeight = 0.02;
-    constexpr std::uint32_t samplesNeeded = 50;
-    // Prompts of nearly one length tell nothing about a slope.
-    constexpr double leastVariance = 400;
-    constexpr double dearestToken = 2'000;
+    // Samples before the measured slope is used.
+    constexpr std::uint32_t minSamples = 50;
+    // In tokens squared. Prompts of nearly the same length don't determine a slope.
+    constexpr double minVariance = 400;
+    // Upper bound of the prefill time of a token, in microseconds.
+    constexpr double maxPerToken = 2'000;
 
 } // namespace
 
@@ -30,8 +33,8 @@
 {
     const double variance = meanXx_ - meanX_ * meanX_;
     double perToken = assumed_;
-    if (samples_ >= samplesNeeded && variance >= leastVariance) {
-        perToken = std::clamp((meanXy_ - meanX_ * meanY_) / variance, 0.0, dearestToken);
+    if (samples_ >= minSamples && variance >= minVariance) {
+        perToken = std::clamp((meanXy_ - meanX_ * meanY_) / variance, 0.0, maxPerToken);
     }
     return Duration { static_cast<Duration::rep>(perToken * static_cast<double>(uncached.value())) };
 }
--- a/src/routing/PrefixCache.cpp
+++ b/src/routing/PrefixCache.cpp
@@ -6,24 +6,28 @@
 
 namespace {
 
-    // The hash covers the first 256 bytes of a prompt; that more is shared is known from answers only.
+    // The hash covers the first 256 bytes of a prompt; only answers show that more tokens are shared.
     constexpr Tokens hashedTokens { 64 };
+    // Trust after a cache event that reports the prefix as stored.
     constexpr double eventTrust = 1.0;
+    // Trust after an answer.
     constexpr double answerTrust = 0.9;
-    // After an answer that had none of the expected tokens cached.
+    // Trust after an answer that had none of the expected tokens cached.
     constexpr double missTrust = 0.25;
-    constexpr double trustLeftByGap = 0.7;
-    constexpr double leastTrust = 0.1;
+    // Factor by which a gap in the events reduces trust.
+    constexpr double gapTrustFactor = 0.7;
+    // Entries with less trust are removed.
+    constexpr double minTrust = 0.1;
 
 } // namespace
 
-// The lost events may have been evictions. Routing on as if nothing had been lost shows as answers with no cached
-// tokens and uneven load; less trust lets load decide sooner, and entries that many gaps have passed are dropped.
-void PrefixCache::distrust()
+// The lost events may have been evictions. If they were ignored, answers would have no cached tokens and load would be
+// uneven. With less trust, load weighs more in the selection, and entries are removed after several gaps.
+void PrefixCache::reduceTrust()
 {
     for (auto entry = entries_.begin(); entry != entries_.end();) {
-        entry->trust *= trustLeftByGap;
-        if (entry->trust >= leastTrust) {
+        entry->trust *= gapTrustFactor;
+        if (entry->trust >= minTrust) {
             ++entry;
             continue;
         }
@@ -39,11 +43,11 @@
             continue;
         }
         if (nextSequence_ && event.sequence > *nextSequence_) {
-            distrust();
+            reduceTrust();
         }
         nextSequence_ = event.sequence + 1;
         if (event.change == CacheChange::Evicted) {
-            forget(event.prefixHash);
+            erase(event.prefixHash);
         } else {
             touch(event.prefixHash).trust = eventTrust;
         }
@@ -71,11 +75,11 @@
     }
     entries_.push_front(Entry { prefix, 0, std::nullopt });
     index_[prefix] = entries_.begin();
-    shrink();
+    evictBeyondCapacity();
     return entries_.front();
 }
 
-void PrefixCache::shrink()
+void PrefixCache::evictBeyondCapacity()
 {
     while (entries_.size() > capacity_) {
         index_.erase(entries_.back().prefix);
@@ -86,10 +90,10 @@
 void PrefixCache::setCapacity(std::size_t capacity)
 {
     capacity_ = capacity;
-    shrink();
+    evictBeyondCapacity();
 }
 
-void PrefixCache::forget(std::uint64_t prefix)
+void PrefixCache::erase(std::uint64_t prefix)
 {
     if (const auto found = index_.find(prefix); found != index_.end()) {
         entries_.erase(found->second);
--- a/src/routing/PrefixLengths.h
+++ b/src/routing/PrefixLengths.h
@@ -10,24 +10,25 @@
 namespace swiftlift::routing {
 
 /**
- * @brief How many tokens requests with one prefix hash have in common, learnt from the answers of all backend servers.
+ * @brief Number of tokens that requests with the same prefix hash share, learnt from the answers of all backend
+ * servers.
  *
- * A hash covers only the beginning of a prefix. What goes wrong without the rest: of a backend server that has just
- * computed a long prefix, only the hashed beginning is known, so it seems hardly better than one without it, and the
- * prefix is computed again elsewhere. It shows as few cached tokens under affinity, hardly more than at random.
+ * A hash covers only the beginning of a prefix. Without its length, a backend server that has just computed a long
+ * prefix would count as having only the hashed beginning cached and would hardly be preferred, so the prefix would be
+ * computed again elsewhere; the `affinity` selector would then find hardly more cached tokens than a random choice.
  */
 class PrefixLengths {
 public:
-    /** @param capacity Prefixes remembered for sure; at most twice as many are. */
+    /** @param capacity Number of most recent prefixes that are always remembered; at most twice as many are stored. */
     explicit PrefixLengths(std::size_t capacity)
         : capacity_(capacity)
     {
     }
 
-    /** @brief An answer had so many tokens cached. */
+    /** @brief Records how many tokens of a prompt with this prefix an answer had cached. */
     void add(std::uint64_t prefix, Tokens cached);
 
-    /** @return Nothing for a prefix that no answer has had cached of late. */
+    /** @return Shared tokens of the prefix; nothing if no recent answer had it cached. */
     [[nodiscard]] std::optional<Tokens> of(std::uint64_t prefix) const;
 
 private:
@@ -35,7 +36,7 @@
 
     std::size_t capacity_;
     Lengths recent_;
-    /** What was recent before; forgotten when `recent_` is full again. */
+    /** The previous content of `recent_`; discarded when `recent_` is full again. */
     Lengths older_;
 };
 
--- a/src/routing/RendezvousSelector.cpp
+++ b/src/routing/RendezvousSelector.cpp
@@ -10,18 +10,17 @@
 
 namespace {
 
-    /** An engine may always have this many in flight from one router: below it, the mean says little. */
-    constexpr std::uint32_t leastBound = 4;
-    /** Beyond it, an engine may have this multiple of the mean; 1.25 to 2 are usual for bounded loads. */
-    constexpr std::uint32_t boundFactor = 2;
+    /** Requests that an engine may always have in flight from one router: with fewer, the mean says little. */
+    constexpr std::uint32_t minInFlightBound = 4;
+    /** Multiple of the mean that an engine may have in flight; 1.25 to 2 are usual for hashing with bounded loads. */
+    constexpr std::uint32_t inFlightFactor = 2;
 
-    /** From here on, reading a shared prefix anew costs more than going to another failure domain: 20 ms at 100 tokens
-     * a ms, against 1 to 3 ms there and back and the bytes in between. */
-    constexpr Tokens longPrefix { 2'000 };
+    /** From this length on, prefilling a shared prefix again costs more than going to another failure domain: 20 ms at
+     * 100 tokens per ms, against a round trip of 1 to 3 ms and the cost of the transferred bytes. */
+    constexpr Tokens minLongPrefix { 2'000 };
 
-    /** A second home has to be quicker by this much: a few steps of an engine, so that homes don't change for nothing.
-     */
-    constexpr Duration leastGain = std::chrono::milliseconds(10);
+    /** Minimum gain for which a second home is used: a few engine steps, so that homes don't change without need. */
+    constexpr Duration minGain = std::chrono::milliseconds(10);
 
     /** Finalizer of SplitMix64: every bit of the input moves every bit of the result. */
     [[nodiscard]] std::uint64_t mix(std::uint64_t value) noexcept
@@ -32,7 +31,7 @@
         return value ^ (value >> 31U);
     }
 
-    /** FNV-1a: the same on every router, whatever its library's own hash is. */
+    /** FNV-1a, which is the same on every router, unlike std::hash. */
     [[nodiscard]] std::uint64_t hashOf(const std::string& text) noexcept
     {
         std::uint64_t hash = 0xCBF29CE484222325U;
@@ -51,37 +50,38 @@
 
 bool RendezvousSelector::spansDomains(const SelectRequest& request) const
 {
-    return request.prefixHash != 0 && request.sharedTokens >= longPrefix;
+    return request.prefixHash != 0 && request.sharedTokens >= minLongPrefix;
 }
 
 Choice RendezvousSelector::pick(const SelectRequest& request, const std::vector<BackendView>& candidates)
 {
     if (request.prefixHash == 0) {
-        return leastLoaded(candidates);
+        return pickLeastInFlight(candidates);
     }
     std::uint32_t inFlight = 0;
     for (const BackendView& view : candidates) {
         inFlight += view.inFlight;
     }
     const auto count = static_cast<std::uint32_t>(candidates.size());
-    const std::uint32_t bound = std::max(leastBound, boundFactor * (inFlight + count) / count);
-    const Ranked ranked = rank(request, candidates, bound);
+    const std::uint32_t maxInFlight = std::max(minInFlightBound, inFlightFactor * (inFlight + count) / count);
+    const Ranked ranked = rank(request, candidates, maxInFlight);
     if (ranked.first == nullptr) {
-        return leastLoaded(candidates);
+        return pickLeastInFlight(candidates);
     }
-    if (ranked.second != nullptr && quicker(*ranked.second, *ranked.first)) {
-        Choice choice = choiceOf(*ranked.second, "second home: the first has much to read");
+    if (ranked.second != nullptr && isFaster(*ranked.second, *ranked.first)) {
+        Choice choice = choiceOf(*ranked.second, "second home: the first has long prompts to prefill");
         choice.prefillsSharedPart = true;
         return choice;
     }
     const bool isHome = ranked.first == ranked.home;
-    Choice choice = choiceOf(*ranked.first, isHome ? "home of the prefix" : "next to the prefix's busy home");
+    Choice choice
+        = choiceOf(*ranked.first, isHome ? "home of the prefix" : "next in the prefix's order: its home is busy");
     choice.prefillsSharedPart = !isHome;
     return choice;
 }
 
 RendezvousSelector::Ranked RendezvousSelector::rank(
-    const SelectRequest& request, const std::vector<BackendView>& candidates, std::uint32_t bound)
+    const SelectRequest& request, const std::vector<BackendView>& candidates, std::uint32_t maxInFlight)
 {
     Ranked ranked;
     std::uint64_t homeRank = 0;
@@ -93,7 +93,7 @@
             ranked.home = &view;
             homeRank = rank;
         }
-        if (view.inFlight >= bound) {
+        if (view.inFlight >= maxInFlight) {
             continue;
         }
         if (ranked.first == nullptr || rank > firstRank) {
@@ -109,17 +109,18 @@
     return ranked;
 }
 
-// What goes wrong otherwise: one prompt of 40,000 tokens, or a few in a row, keep an engine reading for a quarter of a
-// second, and each prompt whose home it is waits behind them. One notices by first events that come later than
-// predicted at homes of prefixes while other engines are quick. Reading the shared part once more is a known cost.
-bool RendezvousSelector::quicker(const BackendView& second, const BackendView& first) noexcept
+// One prompt of 40,000 tokens, or a few in a row, occupy an engine with prefill for a quarter of a second, and all
+// prompts whose home the engine is wait behind them: first tokens then come later than predicted at homes of prefixes
+// while other engines are fast. Prefilling the shared part once more elsewhere has a known cost, which is compared
+// here.
+bool RendezvousSelector::isFaster(const BackendView& second, const BackendView& first) noexcept
 {
-    return second.unread + second.sharedPart + leastGain < first.unread;
+    return second.unread + second.sharedPart + minGain < first.unread;
 }
 
-Choice RendezvousSelector::leastLoaded(const std::vector<BackendView>& candidates)
+Choice RendezvousSelector::pickLeastInFlight(const std::vector<BackendView>& candidates)
 {
-    // Routers that start together would all begin with the first of several that are equal.
+    // Begins at a random place: routers that started together would otherwise all select the first of several equals.
     const std::size_t start = random()() % candidates.size();
     const BackendView* best = nullptr;
     for (std::size_t step = 0; step < candidates.size(); ++step) {
--- a/src/routing/RendezvousSelector.h
+++ b/src/routing/RendezvousSelector.h
@@ -8,14 +8,16 @@
 namespace swiftlift::routing {
 
 /**
- * @brief Sends requests with one prefix to one engine, on all routers alike, without a word between them.
+ * @brief Sends all requests with the same prefix to the same engine, from all routers, without communication between
+ * routers.
  *
- * The load pattern it answers: a few hundred prefixes, each asked for every few seconds by the fleet but seldom by any
- * one router. A router that goes by what it has seen itself then finds a prefix uncached almost every time. Here each
- * prefix has an order of engines by rendezvous hashing (Thaler and Ravishankar 1998), so the loss of one engine moves
- * only its own prefixes. An engine that has much more in flight from this router than the mean is passed over, so that
- * one popular prefix can't drown it. A long prefix has one home in the whole fleet, a short one a home in each failure
- * domain: reading it once more there costs less than sending every request over a dear link.
+ * Meant for a few hundred prefixes, each requested every few seconds from the fleet but seldom from any one router: a
+ * router that selected engines by its own traffic would find a prefix uncached almost every time. Each prefix orders
+ * the engines by rendezvous hashing (Thaler and Ravishankar 1998); the first in the order is the prefix's home. The
+ * loss of an engine moves only the prefixes whose home it is. An engine with many more requests in flight from this
+ * router than the mean is skipped, so that one popular prefix can't overload it. A long prefix has one home in the
+ * whole fleet, a short one a home in each failure domain, since prefilling it once more there costs less than sending
+ * every request over an expensive link.
  */
 class RendezvousSelector final : public Selector {
 public:
@@ -26,19 +28,24 @@
 private:
     [[nodiscard]] Choice pick(const SelectRequest& request, const std::vector<BackendView>& candidates) override;
     [[nodiscard]] bool spansDomains(const SelectRequest& request) const override;
-    /** Engines in the prefix's order; null where there is none. */
+    /** @brief The first engines in the prefix's order; null where there is none. */
     struct Ranked {
-        /** Of all. */
+        /** First of all engines. */
         const BackendView* home = nullptr;
-        /** Of those that are not passed over. */
+        /** First of the engines that are not skipped. */
         const BackendView* first = nullptr;
+        /** Second of the engines that are not skipped. */
         const BackendView* second = nullptr;
     };
 
+    /** @param maxInFlight Engines with this many requests in flight from this router are skipped. */
     [[nodiscard]] static Ranked rank(
-        const SelectRequest& request, const std::vector<BackendView>& candidates, std::uint32_t bound);
-    [[nodiscard]] static bool quicker(const BackendView& second, const BackendView& first) noexcept;
-    [[nodiscard]] Choice leastLoaded(const std::vector<BackendView>& candidates);
+        const SelectRequest& request, const std::vector<BackendView>& candidates, std::uint32_t maxInFlight);
+    /** @return True if the second engine would prefill the shared part of the prompt clearly before the first engine
+     * has prefilled the prompts that it already has. */
+    [[nodiscard]] static bool isFaster(const BackendView& second, const BackendView& first) noexcept;
+    /** @return The engine with the fewest requests in flight from this router per slot. */
+    [[nodiscard]] Choice pickLeastInFlight(const std::vector<BackendView>& candidates);
 };
 
 } // namespace swiftlift::routing
--- a/src/routing/RetryBudget.cpp
+++ b/src/routing/RetryBudget.cpp
@@ -9,11 +9,12 @@
 
     using namespace std::chrono_literals;
 
+    // In thousandths of a retry, as `level_`.
     constexpr std::int64_t oneRetry = 1'000;
     constexpr std::int64_t levelPerPercent = oneRetry / 100;
     constexpr std::int64_t maxLevel = 20 * oneRetry;
     constexpr std::int64_t initialLevel = 3 * oneRetry;
-    // A quiet service may retry once in so long, whatever its percentage.
+    // Time after which one retry is added regardless of the percentage, for services with little traffic.
     constexpr Duration refillTimePerRetry = 5s;
     constexpr int intervalSmoothing = 8;
 
--- a/src/routing/RetryShare.cpp
+++ b/src/routing/RetryShare.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-    /** Part of the bound that is used: what is sent now may be counted in a window that begins a little later. */
+    /** Part of the bound that is used. The rest is a margin: the bound may be checked over windows that begin a little
+     * later than the router's. */
     constexpr double usedFraction = 0.9;
 
 } // namespace
--- a/src/routing/Selector.cpp
+++ b/src/routing/Selector.cpp
@@ -15,7 +15,8 @@
 
     constexpr Duration defaultRetryAfter = 1s;
     constexpr Duration minRetryAfter = 50ms;
-    // Another failure domain has to be clearly better before requests leave the own one.
+    // Requests leave the own failure domain only if the predicted time to first token in another domain is below this
+    // percentage of the own domain's.
     constexpr int maxOtherDomainPercent = 80;
 
     [[nodiscard]] std::string join(const std::map<std::string, int>& counts)
@@ -76,8 +77,8 @@
     return {};
 }
 
-// Requests that wait at a backend server are served in its order, not by the accounts' shares. So all but a few wait
-// here; urgent ones may wait where they are next.
+// A backend server serves waiting requests in its own order and not by the accounts' shares, so all but a few wait in
+// the router. Interactive requests may add to the few, since they are served next there.
 bool Selector::isFull(const SelectRequest& request, const BackendView& view) const
 {
     const std::uint32_t additional = request.priority == Priority::Interactive ? settings_.waitingAtBackend : 0;
@@ -113,8 +114,9 @@
     return classified;
 }
 
-// Without a probe a breaker would stay open as long as others are usable. With every request one, a whole failure
-// domain behind a cut would slow each of them down. So a few are, none of them urgent.
+// Without probes, a breaker would stay open as long as other backend servers are usable. If every request could be a
+// probe, an unreachable failure domain would delay every request. So only a few requests become probes, and interactive
+// ones only if no other backend server is usable.
 std::optional<Choice> Selector::pickProbe(const SelectRequest& request, const Classified& classified)
 {
     if (classified.probes.empty()) {
@@ -129,15 +131,16 @@
     return Choice { view.backend, view.predictedFirstToken, "probe of an open breaker", {}, true };
 }
 
-// What goes wrong: a service that answers one request in nine with a failure, on all its servers alike, opens the
-// breakers of all of them at a router with little traffic, which then refuses what eight in nine servers would have
-// answered. One notices by `no_backend` with nothing but "broken" and "paused" in its detail. A breaker is there to
-// send requests to better servers; where there is none, one that answers at all is better than a refusal.
+// If all servers of a service answer one request in nine with a failure, the breakers of all of them open at a router
+// with little traffic, which then refuses requests of which eight in nine would have succeeded; the refusals are
+// `no_backend` with only "broken" and "paused" in the detail. A breaker exists to direct requests to better servers;
+// where there is none, a server that answers at all is better than a refusal.
 Choice Selector::pickLastResort(const std::vector<BackendView>& lastResorts)
 {
     const auto best = std::min_element(lastResorts.begin(), lastResorts.end(),
         [](const auto& left, const auto& right) { return left.inFlight < right.inFlight; });
-    return { best->backend, best->predictedFirstToken, "all are held back; this one answers", {}, false };
+    return { best->backend, best->predictedFirstToken,
+        "last resort: all are held back by their breakers, this one answers", {}, false };
 }
 
 Choice Selector::pickByDomain(const SelectRequest& request, const Classified& classified)
--- a/src/routing/Selectors.cpp
+++ b/src/routing/Selectors.cpp
@@ -10,9 +10,9 @@
 
     using namespace std::chrono_literals;
 
-    // What a full batch is taken to cost beside the first token: its steps are longer, and it queues next.
+    // Cost of a full batch in addition to the time to first token: its steps are longer, and further requests queue.
     constexpr Duration fullBatchCost = 2ms;
-    constexpr std::size_t drawn = 2;
+    constexpr std::size_t sampleSize = 2;
 
     [[nodiscard]] Duration score(const BackendView& view)
     {
@@ -36,35 +36,35 @@
 
 } // namespace
 
-void AffinitySelector::draw(std::vector<const BackendView*> from, std::vector<const BackendView*>& sample)
+void AffinitySelector::addToSample(std::vector<const BackendView*> from, std::vector<const BackendView*>& sample)
 {
-    for (std::size_t i = 0; i < drawn && !from.empty(); ++i) {
-        const std::size_t place = random()() % from.size();
-        if (std::find(sample.begin(), sample.end(), from[place]) == sample.end()) {
-            sample.push_back(from[place]);
+    for (std::size_t i = 0; i < sampleSize && !from.empty(); ++i) {
+        const std::size_t index = random()() % from.size();
+        if (std::find(sample.begin(), sample.end(), from[index]) == sample.end()) {
+            sample.push_back(from[index]);
         }
-        from.erase(from.begin() + static_cast<std::ptrdiff_t>(place));
+        from.erase(from.begin() + static_cast<std::ptrdiff_t>(index));
     }
 }
 
-// All routers see the same late reports. If each took the best of all, all would take the same one until the next
-// report, and then the next; the sample makes them differ.
+// All routers get the same delayed load reports. If each selected the best of all backend servers, all routers would
+// select the same one until the next report; random samples make their choices differ.
 Choice AffinitySelector::pick(const SelectRequest& /*request*/, const std::vector<BackendView>& candidates)
 {
     std::vector<const BackendView*> all;
-    std::vector<const BackendView*> holders;
+    std::vector<const BackendView*> cachingBackends;
     for (const BackendView& view : candidates) {
         all.push_back(&view);
         if (view.cachedTokens > Tokens {}) {
-            holders.push_back(&view);
+            cachingBackends.push_back(&view);
         }
     }
     std::vector<const BackendView*> sample;
-    draw(std::move(all), sample);
-    draw(std::move(holders), sample);
+    addToSample(std::move(all), sample);
+    addToSample(std::move(cachingBackends), sample);
     const BackendView* best = *std::min_element(sample.begin(), sample.end(),
         [](const BackendView* left, const BackendView* right) { return score(*left) < score(*right); });
-    const char* reason = sample.size() == 1 ? "the only one" : "best of a sample";
+    const char* reason = sample.size() == 1 ? "only candidate" : "best of a sample";
     Choice choice = choiceOf(*best, best->cachedTokens > Tokens {} ? "prefix cached" : reason);
     for (const BackendView* view : sample) {
         if (view != best) {
@@ -81,7 +81,7 @@
 
 Choice RoundRobinSelector::pick(const SelectRequest& /*request*/, const std::vector<BackendView>& candidates)
 {
-    // Routers that started together would all begin with the same one.
+    // Begins at a random index: routers that started together would otherwise all begin with the same backend server.
     if (last_ == BackendId {}) {
         last_ = candidates[random()() % candidates.size()].backend;
     }
--- a/src/routing/Selectors.h
+++ b/src/routing/Selectors.h
@@ -9,8 +9,8 @@
 namespace swiftlift::routing {
 
 /**
- * @brief The better of two drawn at random, and of two that probably hold the prompt's prefix, by predicted first
- * token.
+ * @brief Selects the backend server with the earliest predicted first token from a random sample: two of all, and two
+ * of those that probably have the prompt's prefix cached.
  */
 class AffinitySelector final : public Selector {
 public:
@@ -20,10 +20,11 @@
 
 private:
     [[nodiscard]] Choice pick(const SelectRequest& request, const std::vector<BackendView>& candidates) override;
-    void draw(std::vector<const BackendView*> from, std::vector<const BackendView*>& sample);
+    /** @brief Draws up to two backend servers at random and adds those to the sample that it does not contain yet. */
+    void addToSample(std::vector<const BackendView*> from, std::vector<const BackendView*>& sample);
 };
 
-/** @brief Any of them. */
+/** @brief Selects a backend server at random. */
 class RandomSelector final : public Selector {
 public:
     using Selector::Selector;
@@ -34,7 +35,7 @@
     [[nodiscard]] Choice pick(const SelectRequest& request, const std::vector<BackendView>& candidates) override;
 };
 
-/** @brief Each in turn. */
+/** @brief Selects the backend servers in turn, in order of their addresses. */
 class RoundRobinSelector final : public Selector {
 public:
     using Selector::Selector;
@@ -47,7 +48,7 @@
     BackendId last_;
 };
 
-/** @brief The one with the least load, as far as is known. */
+/** @brief Selects the backend server with the lowest estimated load: running and waiting requests per slot. */
 class LeastLoadSelector final : public Selector {
 public:
     using Selector::Selector;
