--- a/tests/routing/BackendTableTest.cpp
+++ b/tests/routing/BackendTableTest.cpp
@@ -7,40 +7,39 @@
 
     using BackendTableTest = TableTest;
 
-    TEST_F(BackendTableTest, CorrectsALateReportByWhatWasSentSince)
+    TEST_F(BackendTableTest, CorrectsOldReportByAttemptsSentSince)
     {
-        add(1);
+        setEngines(1);
         now_ += 1s;
         (void)dispatch(1);
         const AttemptId second = dispatch(1);
         EXPECT_EQ(view(1).running, 2U);
         now_ += 100ms;
         table_.onLoad(engine(1), report(5), now_);
-        EXPECT_EQ(view(1).running, 7U) << "the report is from before the two were sent";
+        EXPECT_EQ(view(1).running, 7U) << "the report shows the load before the two attempts were sent";
         now_ += 1s;
         table_.onLoad(engine(1), report(7), now_);
-        EXPECT_EQ(view(1).running, 7U) << "now it shows them";
+        EXPECT_EQ(view(1).running, 7U) << "the report includes the two attempts";
         finish(1, second, EndKind::Completed);
         EXPECT_EQ(view(1).running, 6U);
         now_ += 10s;
-        EXPECT_EQ(view(1).running, 1U) << "the report is too old: only what is known for certain";
+        EXPECT_EQ(view(1).running, 1U) << "the report is too old: only this router's own attempt counts";
     }
 
-    TEST_F(BackendTableTest, WaitingRequestsLengthenTheFirstToken)
+    TEST_F(BackendTableTest, WaitingRequestsDelayThePredictedFirstToken)
     {
-        add(2);
+        setEngines(2);
         table_.onLoad(engine(1), report(8, 6), now_);
         EXPECT_EQ(view(1).slots, 8U);
         EXPECT_EQ(view(1).waiting, 6U);
         EXPECT_GT(view(1).predictedFirstToken, view(2).predictedFirstToken + 100ms);
     }
 
-    // Symptom: requests sent to a backend server after it said that it was leaving.
-    // Events: its reply says so; then a load report arrives that was taken before.
-    // Cause: the report, being the later message, was believed.
-    TEST_F(BackendTableTest, ALateReportDoesNotBringALeavingBackendBack)
+    // Guards against requests to a leaving backend server: its answer announces that it is leaving, and a load report
+    // that was made before the announcement arrives after it.
+    TEST_F(BackendTableTest, OlderLoadReportDoesNotEndLeaving)
     {
-        add(1);
+        setEngines(1);
         finish(1, dispatch(1), EndKind::Leaving);
         EXPECT_EQ(view(1).state, BackendState::Leaving);
         for (int i = 0; i < 20; ++i) {
@@ -49,40 +48,40 @@
             EXPECT_FALSE(view(1).usable);
         }
         table_.onLoad(engine(1), report(0, 0, 2), now_);
-        EXPECT_TRUE(view(1).usable) << "it has started anew";
+        EXPECT_TRUE(view(1).usable) << "a greater generation shows that the server has restarted";
         EXPECT_EQ(view(1).state, BackendState::SlowStart);
     }
 
-    // Symptom: a server that has just started gets nothing for half a minute.
-    // Events: it crashes; requests fail until its breaker opens; it starts again under its id, which the list tells.
-    // Cause: breaker, load and cache were those of its former life.
-    TEST_F(BackendTableTest, ANewLifeUnderTheSameIdStartsAnew)
+    // Guards against a server that gets no requests for half a minute after a restart: it crashes, requests fail until
+    // its breaker opens, and it restarts under the same id. Breaker, load and cache of the former instance must not
+    // count.
+    TEST_F(BackendTableTest, NewInstanceUnderTheSameIdResetsItsState)
     {
         const ServiceName service = drafts;
-        const auto tell = [&](std::uint64_t instance, std::uint32_t slots) {
-            table_.setBackends(service, { { engine(1), home, slots, instance } }, now_);
+        const auto listInstance = [&](std::uint64_t instance, std::uint32_t slots) {
+            table_.setBackends(service, { { engine(1), ownDomain, slots, instance } }, now_);
         };
-        tell(100, 4);
-        const AttemptId lost = dispatch(1);
+        listInstance(100, 4);
+        const AttemptId formerAttempt = dispatch(1);
         for (int failure = 0; failure < 3; ++failure) {
             finish(1, dispatch(1), EndKind::Broken);
         }
         EXPECT_FALSE(view(1).usable);
-        tell(100, 4);
-        EXPECT_FALSE(view(1).usable) << "the same life, told again";
-        tell(200, 6);
+        listInstance(100, 4);
+        EXPECT_FALSE(view(1).usable) << "the same instance is listed again";
+        listInstance(200, 6);
         EXPECT_TRUE(view(1).usable);
-        EXPECT_EQ(view(1).inFlight, 0U) << "what ran there is lost";
+        EXPECT_EQ(view(1).inFlight, 0U) << "attempts at the former instance are lost";
         EXPECT_EQ(view(1).slots, 6U);
-        finish(1, lost, EndKind::Broken);
+        finish(1, formerAttempt, EndKind::Broken);
         EXPECT_EQ(view(1).inFlight, 0U);
-        tell(100, 4);
-        EXPECT_EQ(view(1).slots, 6U) << "a late word of the former life";
+        listInstance(100, 4);
+        EXPECT_EQ(view(1).slots, 6U) << "an outdated entry of the former instance is ignored";
     }
 
-    TEST_F(BackendTableTest, TheFirstSignOfLeavingCountsWhereverItComesFrom)
+    TEST_F(BackendTableTest, LeavingIsTakenFromReportsAndFromAnnouncements)
     {
-        add(2);
+        setEngines(2);
         LoadReport leaving = report(0);
         leaving.leaving = true;
         table_.onLoad(engine(1), leaving, now_);
@@ -93,16 +92,16 @@
 
     TEST_F(BackendTableTest, BreakerOpensForAGrowingTimeAndLetsOneProbeThrough)
     {
-        add(1);
-        fail(1, 2);
+        setEngines(1);
+        breakAttempts(1, 2);
         EXPECT_TRUE(view(1).usable);
-        fail(1, 1);
+        breakAttempts(1, 1);
         EXPECT_EQ(view(1).state, BackendState::Broken);
         const Duration firstWait = *view(1).usableAt - now_;
         now_ = *view(1).usableAt;
         ASSERT_TRUE(view(1).probe);
         const AttemptId probe = dispatch(1);
-        EXPECT_FALSE(view(1).usable) << "one probe at a time";
+        EXPECT_FALSE(view(1).usable) << "the probe is in progress";
         finish(1, probe, EndKind::Broken);
         EXPECT_EQ(view(1).state, BackendState::Broken);
         for (int i = 0; i < 5; ++i) {
@@ -116,17 +115,17 @@
 
     TEST_F(BackendTableTest, SlowStartAfterTheBreakerCloses)
     {
-        add(1);
-        fail(1);
+        setEngines(1);
+        breakAttempts(1);
         now_ = *view(1).usableAt;
         finish(1, dispatch(1), EndKind::Completed);
         EXPECT_EQ(view(1).state, BackendState::SlowStart);
         (void)dispatch(1);
-        EXPECT_FALSE(view(1).usable) << "one at a time at first";
+        EXPECT_FALSE(view(1).usable) << "a slow start begins with one request at a time";
         now_ += 5s;
         (void)dispatch(1);
         (void)dispatch(1);
-        EXPECT_TRUE(view(1).usable) << "half of its eight slots";
+        EXPECT_TRUE(view(1).usable) << "half of the eight slots may be used";
         (void)dispatch(1);
         EXPECT_FALSE(view(1).usable);
         now_ += 5s;
@@ -134,28 +133,26 @@
         EXPECT_EQ(view(1).state, BackendState::Up);
     }
 
-    // Symptom: a backend server that is back stays out for another, longer time.
-    // Events: the breaker opens; a request sent before fails only now, while the probe runs.
-    // Cause: the late failure was taken for the probe's.
-    TEST_F(BackendTableTest, ALateFailureOfAnOldRequestIsNotTheProbes)
+    // Guards against a breaker that opens again, for longer, though its backend server works again: an attempt that was
+    // sent before the breaker opened fails while the probe is in progress, and must not count as the probe's failure.
+    TEST_F(BackendTableTest, FailureOfAnEarlierAttemptIsNotTheProbesFailure)
     {
-        add(1);
-        const AttemptId old = dispatch(1);
-        fail(1);
+        setEngines(1);
+        const AttemptId earlier = dispatch(1);
+        breakAttempts(1);
         now_ = *view(1).usableAt;
         const AttemptId probe = dispatch(1);
-        finish(1, old, EndKind::Broken);
+        finish(1, earlier, EndKind::Broken);
         EXPECT_EQ(view(1).state, BackendState::Probing);
         finish(1, probe, EndKind::Completed);
         EXPECT_EQ(view(1).state, BackendState::SlowStart);
     }
 
-    // Symptom: under overload all breakers open, and what still had room is not used.
-    // Events: full backend servers turn requests away.
-    // Cause: "full" was counted as a failure.
-    TEST_F(BackendTableTest, FullIsAPauseAndNoFailure)
+    // Guards against all breakers opening under overload, which leaves free capacity unused: a refusal by a full
+    // backend server must not count as a failure.
+    TEST_F(BackendTableTest, RefusalByFullServerPausesItAndIsNoFailure)
     {
-        add(1);
+        setEngines(1);
         for (int i = 0; i < 10; ++i) {
             finish(1, dispatch(1), EndKind::NotStarted);
             EXPECT_FALSE(view(1).usable);
@@ -165,9 +162,9 @@
         EXPECT_EQ(view(1).state, BackendState::Up);
     }
 
-    TEST_F(BackendTableTest, UnansweredPollsOpenTheBreakerAndAnAnswerHastensTheProbe)
+    TEST_F(BackendTableTest, FailedPollsOpenTheBreakerAndALoadReportAllowsTheProbe)
     {
-        add(1);
+        setEngines(1);
         for (int i = 0; i < 3; ++i) {
             table_.onLoadMissed(engine(1), now_);
         }
@@ -176,9 +173,9 @@
         EXPECT_TRUE(view(1).probe);
     }
 
-    TEST_F(BackendTableTest, KnowsCachedPrefixesAndTrustsThemLessAfterAGap)
+    TEST_F(BackendTableTest, CacheEventGapReducesExpectedCachedTokens)
     {
-        add(1);
+        setEngines(1);
         table_.onCacheEvents(engine(1), { { 10, CacheChange::Stored, 7 } }, now_);
         EXPECT_EQ(view(1, 7).cachedTokens, Tokens { 64 });
         EXPECT_LT(view(1, 7).predictedFirstToken, view(1, 8).predictedFirstToken);
@@ -186,56 +183,56 @@
         EXPECT_EQ(view(1, 7).cachedTokens, Tokens { 44 });
         EXPECT_EQ(view(1, 9).cachedTokens, Tokens { 64 });
         table_.onCacheEvents(engine(1), { { 13, CacheChange::Evicted, 9 }, { 10, CacheChange::Stored, 9 } }, now_);
-        EXPECT_EQ(view(1, 9).cachedTokens, Tokens {}) << "a repeat of an old event says nothing";
+        EXPECT_EQ(view(1, 9).cachedTokens, Tokens {}) << "a repeated old event is ignored";
         for (std::uint64_t gap = 20; gap < 60; gap += 2) {
             table_.onCacheEvents(engine(1), { { gap, CacheChange::Evicted, 1 } }, now_);
         }
         EXPECT_EQ(view(1, 7).cachedTokens, Tokens {});
         table_.onLoad(engine(1), report(0, 0, 2), now_);
         table_.onCacheEvents(engine(1), { { 0, CacheChange::Stored, 5 } }, now_);
-        EXPECT_EQ(view(1, 5).cachedTokens, Tokens { 64 }) << "a new start counts from the beginning";
+        EXPECT_EQ(view(1, 5).cachedTokens, Tokens { 64 }) << "after a restart, the sequence numbers start again";
     }
 
     TEST_F(BackendTableTest, LearnsFromAnswersWhatWasCached)
     {
-        add(1);
+        setEngines(1);
         table_.onFinished(engine(1), dispatch(1, 7), { EndKind::Completed, Tokens { 100 }, Tokens { 96 } }, now_);
         EXPECT_EQ(view(1, 7).cachedTokens, Tokens { 86 });
         table_.onFinished(engine(1), dispatch(1, 7), { EndKind::Completed, Tokens { 100 }, Tokens {} }, now_);
-        EXPECT_LT(view(1, 7).cachedTokens, Tokens { 30 }) << "it was expected and was not there";
+        EXPECT_LT(view(1, 7).cachedTokens, Tokens { 30 }) << "the answer had none of the expected tokens cached";
     }
 
-    // Symptom: affinity finds hardly more cached tokens than a random choice. Events: an engine computes a long prefix
-    // that others hold already, and tells of it by a cache event. Cause: the event's hash covers 64 tokens, and how
-    // long the prefix is was known only of engines that had answered from their cache.
-    TEST_F(BackendTableTest, ALengthLearntFromOneAnswerHoldsForAllWithThePrefix)
+    // Guards against affinity finding hardly more cached tokens than a random choice: an engine computes a long prefix
+    // that others have cached already and reports it by a cache event, whose hash covers only 64 tokens. The length
+    // learnt from another engine's answer must apply to this engine too.
+    TEST_F(BackendTableTest, PrefixLengthFromOneAnswerAppliesToAllServersWithThePrefix)
     {
-        add(3);
+        setEngines(3);
         table_.onCacheEvents(engine(2), { { 0, CacheChange::Stored, 7 } }, now_);
         EXPECT_EQ(view(2, 7).cachedTokens, Tokens { 64 });
         table_.onFinished(engine(1), dispatch(1, 7), { EndKind::Completed, Tokens { 100 }, Tokens { 96 } }, now_);
         EXPECT_EQ(view(2, 7).cachedTokens, Tokens { 96 });
-        EXPECT_EQ(view(3, 7).cachedTokens, Tokens {}) << "it has not told of the prefix";
+        EXPECT_EQ(view(3, 7).cachedTokens, Tokens {}) << "no cache event reported the prefix for this engine";
         table_.onCacheEvents(engine(2), { { 1, CacheChange::Evicted, 7 } }, now_);
         EXPECT_EQ(view(2, 7).cachedTokens, Tokens {});
     }
 
-    TEST_F(BackendTableTest, LengthsOfPrefixesAreBounded)
+    TEST_F(BackendTableTest, NumberOfPrefixLengthsIsBounded)
     {
-        add(1);
+        setEngines(1);
         for (std::uint64_t prefix = 0; prefix < 5'000; ++prefix) {
             const FinishFacts facts { EndKind::Completed, Tokens { 100 }, Tokens { 96 } };
             table_.onFinished(engine(1), dispatch(1, prefix), facts, now_);
         }
         table_.onLoad(engine(1), report(0, 0, 2), now_);
         table_.onCacheEvents(engine(1), { { 0, CacheChange::Stored, 1 }, { 1, CacheChange::Stored, 4'999 } }, now_);
-        EXPECT_EQ(view(1, 1).cachedTokens, Tokens { 64 }) << "forgotten";
+        EXPECT_EQ(view(1, 1).cachedTokens, Tokens { 64 }) << "the length was evicted, so only the hashed tokens count";
         EXPECT_EQ(view(1, 4'999).cachedTokens, Tokens { 96 });
     }
 
     TEST_F(BackendTableTest, PrefixMemoryIsBounded)
     {
-        add(1);
+        setEngines(1);
         std::vector<CacheNotice> events;
         for (std::uint64_t i = 0; i < 5'000; ++i) {
             events.push_back({ i, CacheChange::Stored, i });
@@ -244,16 +241,16 @@
         EXPECT_EQ(view(1, 100).cachedTokens, Tokens {});
         EXPECT_EQ(view(1, 4'999).cachedTokens, Tokens { 64 });
         EXPECT_EQ(view(1, 4'000).cachedTokens, Tokens { 64 });
-        add(64);
-        EXPECT_EQ(view(1, 4'000).cachedTokens, Tokens { 64 }) << "1,024 each";
-        add(632);
-        EXPECT_EQ(view(1, 4'000).cachedTokens, Tokens {}) << "the bound holds for all together";
+        setEngines(64);
+        EXPECT_EQ(view(1, 4'000).cachedTokens, Tokens { 64 }) << "64 servers remember 1,024 prefixes each";
+        setEngines(632);
+        EXPECT_EQ(view(1, 4'000).cachedTokens, Tokens {}) << "the bound is shared by all servers";
         EXPECT_EQ(view(1, 4'999).cachedTokens, Tokens { 64 });
     }
 
-    TEST_F(BackendTableTest, LearnsWhatPromptTokensCostAndForgetsASlowSpell)
+    TEST_F(BackendTableTest, MeasuresPrefillTimeAndLetsOffsetOfSlowAnswerDecay)
     {
-        add(1);
+        setEngines(1);
         for (int i = 0; i < 200; ++i) {
             const std::int64_t prompt = 100 + 50 * (i % 10);
             const AttemptId attempt = dispatch(1, 1'000 + static_cast<std::uint64_t>(i), Tokens { prompt });
@@ -274,11 +271,11 @@
         EXPECT_LT(view(1).predictedFirstToken, 100ms);
     }
 
-    TEST_F(BackendTableTest, ARemovedBackendIsForgottenWhenItsLastRequestEnds)
+    TEST_F(BackendTableTest, RemovedBackendIsErasedWhenItsLastAttemptEnds)
     {
-        add(2);
+        setEngines(2);
         const AttemptId attempt = dispatch(2);
-        table_.setBackends(drafts, { { engine(1), home } }, now_);
+        table_.setBackends(drafts, { { engine(1), ownDomain } }, now_);
         EXPECT_EQ(table_.backendsOf(drafts), std::vector { engine(1) });
         EXPECT_EQ(table_.backends().size(), 2U);
         finish(2, attempt, EndKind::Completed);
--- a/tests/routing/DomainReachabilityTest.cpp
+++ b/tests/routing/DomainReachabilityTest.cpp
@@ -7,51 +7,51 @@
 
     class DomainReachabilityTest : public TableTest {
     protected:
-        DomainReachability reach_;
+        DomainReachability reachability_;
     };
 
-    TEST_F(DomainReachabilityTest, OneServerThatIsDownRaisesNoDoubt)
+    TEST_F(DomainReachabilityTest, OneUnreachableServerLeavesItsDomainReachable)
     {
         for (int time = 0; time < 5; ++time) {
-            reach_.onBackendUnreachable(away, engine(3), now_);
+            reachability_.onBackendUnreachable(otherDomain, engine(3), now_);
         }
-        EXPECT_TRUE(reach_.unreachableDomains(now_).empty());
+        EXPECT_TRUE(reachability_.unreachableDomains(now_).empty());
     }
 
-    TEST_F(DomainReachabilityTest, TwoServersRaiseItAndAnyAnswerEndsIt)
+    TEST_F(DomainReachabilityTest, TwoUnreachableServersCountUntilAServerIsReached)
     {
-        reach_.onBackendUnreachable(away, engine(3), now_);
-        reach_.onBackendUnreachable(away, engine(4), now_);
-        EXPECT_EQ(reach_.unreachableDomains(now_), std::set<FailureDomain> { away });
-        reach_.onBackendReached(away);
-        EXPECT_TRUE(reach_.unreachableDomains(now_).empty());
+        reachability_.onBackendUnreachable(otherDomain, engine(3), now_);
+        reachability_.onBackendUnreachable(otherDomain, engine(4), now_);
+        EXPECT_EQ(reachability_.unreachableDomains(now_), std::set<FailureDomain> { otherDomain });
+        reachability_.onBackendReached(otherDomain);
+        EXPECT_TRUE(reachability_.unreachableDomains(now_).empty());
     }
 
-    TEST_F(DomainReachabilityTest, ItFadesByItself)
+    TEST_F(DomainReachabilityTest, UnreachableDomainExpires)
     {
-        reach_.onBackendUnreachable(away, engine(3), now_);
-        reach_.onBackendUnreachable(away, engine(4), now_);
-        EXPECT_TRUE(reach_.unreachableDomains(now_ + 3s).empty());
-        reach_.onBackendUnreachable(away, engine(4), now_ + 3s);
-        EXPECT_FALSE(reach_.unreachableDomains(now_ + 3s).empty());
+        reachability_.onBackendUnreachable(otherDomain, engine(3), now_);
+        reachability_.onBackendUnreachable(otherDomain, engine(4), now_);
+        EXPECT_TRUE(reachability_.unreachableDomains(now_ + 3s).empty());
+        reachability_.onBackendUnreachable(otherDomain, engine(4), now_ + 3s);
+        EXPECT_FALSE(reachability_.unreachableDomains(now_ + 3s).empty());
     }
 
-    // Symptom: requests with a prefix are refused `not_started` after four connections that timed out, while the own
-    // domain has idle servers.
-    // Events: a cut leaves this router with the servers of its own domain.
-    // Cause: prefixes are placed over all domains, whatever the last attempts there came to.
-    TEST_F(DomainReachabilityTest, SelectorPassesOverADoubtfulDomainWhileAnotherHasRoom)
+    // Guards against requests that are refused `not_started` after four connection timeouts while the own domain has
+    // idle servers: in a network partition that leaves a router only the servers of its own domain, requests with a
+    // prefix would still be placed over all domains.
+    TEST_F(DomainReachabilityTest, SelectorAvoidsUnreachableDomainWhileAnotherHasUsableServers)
     {
-        add(2, 2);
-        const auto chooser = selector("rendezvous");
+        setEngines(2, 2);
+        const auto rendezvous = selector("rendezvous");
         for (std::uint64_t prefix = 1; prefix <= 50; ++prefix) {
-            SelectRequest wanted = request(prefix);
-            wanted.unreachableDomains = { away };
-            const auto choice = chooser->choose(wanted, table_, now_);
+            SelectRequest selectRequest = request(prefix);
+            selectRequest.unreachableDomains = { otherDomain };
+            const auto choice = rendezvous->choose(selectRequest, table_, now_);
             ASSERT_TRUE(choice);
             EXPECT_TRUE(choice->backend == engine(1) || choice->backend == engine(2));
-            wanted.excluded = { engine(1), engine(2) };
-            EXPECT_TRUE(chooser->choose(wanted, table_, now_)) << "nothing else is left";
+            selectRequest.excluded = { engine(1), engine(2) };
+            EXPECT_TRUE(rendezvous->choose(selectRequest, table_, now_))
+                << "no backend server of a reachable domain is left";
         }
     }
 
--- a/tests/routing/FairQueueTest.cpp
+++ b/tests/routing/FairQueueTest.cpp
@@ -18,12 +18,14 @@
         WaitingCall call(const std::string& account, std::int64_t cost = 100, std::uint32_t weight = 1,
             Priority priority = Priority::Normal, Duration deadline = 30s)
         {
-            return { CallId { ++last_ }, AccountId { account }, weight, Tokens { cost }, priority, now_ + deadline };
+            return { CallId { ++lastCall_ }, AccountId { account }, weight, Tokens { cost }, priority,
+                now_ + deadline };
         }
 
         bool push(FairQueue& queue, const WaitingCall& waiting) { return queue.push(waiting, now_).accepted; }
 
-        std::map<AccountId, Tokens> serve(FairQueue& queue, int times)
+        /** @return Tokens served to each account by popping calls. */
+        std::map<AccountId, Tokens> popTokens(FairQueue& queue, int times)
         {
             std::map<AccountId, Tokens> served;
             for (int i = 0; i < times; ++i) {
@@ -35,13 +37,12 @@
         }
 
         Instant now_ { 100s };
-        std::uint64_t last_ = 0;
+        std::uint64_t lastCall_ = 0;
     };
 
-    // Symptom: nine clubs are refused while a tenth client account floods the service.
-    // Events: the flood fills the queue; then the nine send a few requests each.
-    // Cause: a queue in order of arrival belongs to whoever sends most.
-    TEST_F(FairQueueTest, AFloodHurtsOnlyTheAccountThatFloods)
+    // Guards against refusing nine client accounts that send a few requests each because a tenth account has filled the
+    // queue with a flood, as it would in a queue in order of arrival.
+    TEST_F(FairQueueTest, FloodDelaysOnlyTheFloodingAccount)
     {
         FairQueue queue { 100 };
         int refused = 0;
@@ -58,7 +59,7 @@
         }
         EXPECT_EQ(queue.size(), 100U);
         EXPECT_EQ(queue.sizeOf(AccountId { "flood" }), 55U);
-        const auto served = serve(queue, 50);
+        const auto served = popTokens(queue, 50);
         EXPECT_EQ(served.at(AccountId { "flood" }), Tokens { 500 });
         for (int club = 0; club < 9; ++club) {
             EXPECT_EQ(served.at(AccountId { "club" + std::to_string(club) }), Tokens { 500 });
@@ -72,7 +73,7 @@
             (void)push(queue, call("large", 400, 2));
             (void)push(queue, call("small", 100, 1));
         }
-        const auto served = serve(queue, 150);
+        const auto served = popTokens(queue, 150);
         const double ratio = static_cast<double>(served.at(AccountId { "large" }).value())
             / static_cast<double>(served.at(AccountId { "small" }).value());
         EXPECT_NEAR(ratio, 2.0, 0.1);
@@ -97,13 +98,13 @@
                 ofA.push_back(next->call);
             }
         }
-        EXPECT_EQ(ofA, (std::vector { urgent.call, normal.call, batch.call })) << "every second one is a's";
+        EXPECT_EQ(ofA, (std::vector { urgent.call, normal.call, batch.call }))
+            << "every second served call is of account a";
     }
 
-    // Symptom: an account gets more than its share by sending one call at a time.
-    // Events: each time its line is empty, its place is forgotten; the next call starts in front.
-    // Cause: the service received was kept only while something waited.
-    TEST_F(FairQueueTest, AnEmptyLineKeepsItsPlace)
+    // Guards against an account that gets more than its share by sending one call at a time: the service it received
+    // must still count when its next call arrives after its line was empty.
+    TEST_F(FairQueueTest, AccountWithoutWaitingCallsKeepsItsStartTime)
     {
         FairQueue queue { 1'000 };
         for (int i = 0; i < 100; ++i) {
@@ -124,17 +125,17 @@
     TEST_F(FairQueueTest, RemovesAndExpires)
     {
         FairQueue queue { 10 };
-        const WaitingCall gone = call("a");
-        const WaitingCall late = call("a", 100, 1, Priority::Normal, 1s);
-        const WaitingCall stays = call("b");
-        for (const WaitingCall& waiting : { gone, late, stays }) {
+        const WaitingCall removed = call("a");
+        const WaitingCall expiring = call("a", 100, 1, Priority::Normal, 1s);
+        const WaitingCall remaining = call("b");
+        for (const WaitingCall& waiting : { removed, expiring, remaining }) {
             (void)push(queue, waiting);
         }
-        EXPECT_TRUE(queue.remove(gone.call));
-        EXPECT_FALSE(queue.remove(gone.call));
+        EXPECT_TRUE(queue.remove(removed.call));
+        EXPECT_FALSE(queue.remove(removed.call));
         EXPECT_TRUE(queue.expire(now_ + 500ms, 100ms).empty());
-        EXPECT_EQ(queue.expire(now_ + 950ms, 100ms), std::vector { late.call });
-        EXPECT_EQ(queue.pop(now_)->call, stays.call);
+        EXPECT_EQ(queue.expire(now_ + 950ms, 100ms), std::vector { expiring.call });
+        EXPECT_EQ(queue.pop(now_)->call, remaining.call);
         EXPECT_EQ(queue.pop(now_), std::nullopt);
     }
 
@@ -153,32 +154,33 @@
         }
     };
 
-    TEST_F(AdmissionTest, SendsOnWhatCanGoAndKeepsTheOrderOfWhatWaits)
+    TEST_F(AdmissionTest, DispatchesWhenNoCallWaitsAndQueuesOtherwise)
     {
         Admission admission { 10 };
         EXPECT_EQ(admission.admit(call("a"), 5ms, now_).verdict, AdmissionVerdict::Dispatch);
         EXPECT_EQ(admission.admit(call("a"), std::nullopt, now_).verdict, AdmissionVerdict::Wait);
-        EXPECT_EQ(admission.admit(call("b"), 5ms, now_).verdict, AdmissionVerdict::Wait) << "others wait already";
+        EXPECT_EQ(admission.admit(call("b"), 5ms, now_).verdict, AdmissionVerdict::Wait)
+            << "another call waits already";
     }
 
-    TEST_F(AdmissionTest, RefusesAtOnceWhatCannotMakeItsDeadline)
+    TEST_F(AdmissionTest, RefusesRequestsThatCannotMeetTheirDeadline)
     {
         Admission admission { 100 };
         const auto direct = admission.admit(call("a", 100, 1, Priority::Normal, 50ms), 80ms, now_);
         EXPECT_EQ(direct.refusal, AdmissionRefusal::DeadlineTooShort);
         warmUp(admission);
-        const auto behind = admission.admit(call("warm", 100, 1, Priority::Normal, 2s), std::nullopt, now_);
-        EXPECT_EQ(behind.refusal, AdmissionRefusal::DeadlineTooShort) << "3,000 tokens wait before it";
-        EXPECT_GT(behind.retryAfter, 2s);
-        EXPECT_LT(behind.retryAfter, 4s);
+        const auto queued = admission.admit(call("warm", 100, 1, Priority::Normal, 2s), std::nullopt, now_);
+        EXPECT_EQ(queued.refusal, AdmissionRefusal::DeadlineTooShort)
+            << "3,000 tokens of waiting calls are ahead of the call";
+        EXPECT_GT(queued.retryAfter, 2s);
+        EXPECT_LT(queued.retryAfter, 4s);
         const auto other = admission.admit(call("b", 100, 1, Priority::Normal, 2s), std::nullopt, now_);
-        EXPECT_EQ(other.verdict, AdmissionVerdict::Wait) << "its own line is empty";
+        EXPECT_EQ(other.verdict, AdmissionVerdict::Wait) << "the account has no calls waiting";
     }
 
-    // Symptom: the first request after a quiet hour is refused for its deadline.
-    // Events: a queue drained quickly, then nothing waited for an hour.
-    // Cause: the hour counted as one in which nothing was drained.
-    TEST_F(AdmissionTest, AQuietTimeIsNoStandstill)
+    // Guards against refusing the first request after an hour without requests for its deadline: the time in which
+    // the queue was empty must not lower the measured drain rate.
+    TEST_F(AdmissionTest, TimeWithAnEmptyQueueDoesNotLowerTheDrainRate)
     {
         Admission admission { 100 };
         warmUp(admission);
@@ -190,7 +192,7 @@
         }
     }
 
-    TEST_F(AdmissionTest, TellsAFloodFromAnOverload)
+    TEST_F(AdmissionTest, DistinguishesAccountOverShareFromOverload)
     {
         Admission admission { 4 };
         for (int i = 0; i < 4; ++i) {
--- a/tests/routing/LoadShedderTest.cpp
+++ b/tests/routing/LoadShedderTest.cpp
@@ -9,97 +9,95 @@
 
     class LoadShedderTest : public testing::Test {
     protected:
-        /** Lets requests come for a while, each a part of a second after the other. */
-        void load(Duration time, int perSecond, const ObservedLoad& load)
+        /** @brief Reads requests for some time at a constant rate, under the given load. */
+        void readRequests(Duration time, int perSecond, const ObservedLoad& load)
         {
             const Duration gap = std::chrono::duration_cast<Duration>(1s) / perSecond;
             for (const Instant end = now + time; now < end; now += gap) {
-                last = intake.onRequest(load, now);
+                lastVerdict = shedder.onRequest(load, now);
             }
         }
 
         Instant now { 100s };
-        LoadShedder intake { { 100ms, 100 } };
-        LoadShedVerdict last = LoadShedVerdict::Accept;
+        LoadShedder shedder { { 100ms, 100 } };
+        LoadShedVerdict lastVerdict = LoadShedVerdict::Accept;
     };
 
-    TEST_F(LoadShedderTest, TakesInWhatItCanDo)
+    TEST_F(LoadShedderTest, AcceptsRequestsWithinItsLimits)
     {
-        load(10s, 200, { 10ms, 5, false });
-        EXPECT_EQ(last, LoadShedVerdict::Accept);
-        EXPECT_TRUE(intake.ready(now));
+        readRequests(10s, 200, { 10ms, 5, false });
+        EXPECT_EQ(lastVerdict, LoadShedVerdict::Accept);
+        EXPECT_TRUE(shedder.ready(now));
     }
 
-    TEST_F(LoadShedderTest, RefusesWhatWouldMakeAllOthersLater)
+    TEST_F(LoadShedderTest, RefusesRequestsBeyondMaxLagOrMaxWaiting)
     {
-        EXPECT_EQ(intake.onRequest({ 120ms, 0, false }, now), LoadShedVerdict::Refuse);
-        EXPECT_EQ(intake.onRequest({ 0ms, 101, false }, now), LoadShedVerdict::Refuse);
+        EXPECT_EQ(shedder.onRequest({ 120ms, 0, false }, now), LoadShedVerdict::Refuse);
+        EXPECT_EQ(shedder.onRequest({ 0ms, 101, false }, now), LoadShedVerdict::Refuse);
     }
 
-    // Symptom: a VM answers nobody for 20 s, though the load is what it carried before.
-    // Events: for 6 s callers press with several times the usual; their requests wait in the sockets until the callers
-    // have left; the VM reads them one after the other and sends each on.
-    // Cause: it worked for callers that had left, said that it was ready, and so got as many again.
-    TEST_F(LoadShedderTest, DropsWhatNobodyWaitsForAndSendsCallersElsewhere)
+    // Guards against a VM that answers no request for 20 s after the load is back at what the VM carried before. For 6
+    // s, callers send several times the usual load; their requests wait in the sockets until the callers have
+    // disconnected. A router that forwards those requests and reports that it is ready gets just as many new ones.
+    TEST_F(LoadShedderTest, DropsRequestsOfDisconnectedCallersAndIsNotReady)
     {
-        load(1s, 175, { 10ms, 0, true });
-        EXPECT_EQ(last, LoadShedVerdict::Drop);
-        EXPECT_FALSE(intake.ready(now));
+        readRequests(1s, 175, { 10ms, 0, true });
+        EXPECT_EQ(lastVerdict, LoadShedVerdict::Drop);
+        EXPECT_FALSE(shedder.ready(now));
     }
 
-    // Symptom: callers go on being sent to a VM that is overloaded.
-    // Events: it says no to one question and yes to the next one, a second later.
-    // Cause: the platform's entry takes a VM out after two questions in a row without a yes.
-    TEST_F(LoadShedderTest, StaysAwayForTwoQuestionsInARow)
+    // Guards against an overloaded VM that goes on getting new callers: the platform's load balancer removes a VM only
+    // after two failed readiness probes in a row, which are a second apart.
+    TEST_F(LoadShedderTest, IsNotReadyForTwoProbesInARow)
     {
-        load(500ms, 200, { 150ms, 0, false });
+        readRequests(500ms, 200, { 150ms, 0, false });
         now += 2s;
-        EXPECT_FALSE(intake.ready(now));
+        EXPECT_FALSE(shedder.ready(now));
         now += 1s;
-        EXPECT_TRUE(intake.ready(now));
+        EXPECT_TRUE(shedder.ready(now));
     }
 
-    TEST_F(LoadShedderTest, ReturnsOnceItKeepsUp)
+    TEST_F(LoadShedderTest, IsReadyAgainOnceLagIsWithinItsLimit)
     {
-        load(1s, 200, { 150ms, 0, false });
-        load(4s, 100, { 10ms, 0, false });
-        EXPECT_TRUE(intake.ready(now));
+        readRequests(1s, 200, { 150ms, 0, false });
+        readRequests(4s, 100, { 10ms, 0, false });
+        EXPECT_TRUE(shedder.ready(now));
     }
 
-    // Symptom: a VM with a link of 10 Mbit/s takes all backend servers for unreachable, for as long as one account's
-    // callers press.
-    // Events: requests of 4 KB come faster than the link carries; connections wait behind them for longer than they
-    // may. Cause: the router was in time with its work, so nothing told it that it had taken in too much.
-    TEST_F(LoadShedderTest, SendsCallersElsewhereBeforeItsLinkIsFull)
+    // Guards against a VM with a link of 10 Mbit/s that takes all backend servers for unreachable while one account's
+    // callers send requests of 4 KB faster than the link carries them. Connections then time out behind the requests,
+    // although the router itself does not lag.
+    TEST_F(LoadShedderTest, IsNotReadyBeforeItsLinkIsFull)
     {
         constexpr std::uint64_t linkBytes = 1'250'000;
-        LoadShedder narrow { { 100ms, 100, linkBytes } };
+        LoadShedder shedderWithLinkLimit { { 100ms, 100, linkBytes } };
         LinkTraffic traffic;
-        narrow.onTraffic(traffic, now);
-        const auto halfSecond = [&](std::uint64_t received) {
+        shedderWithLinkLimit.onTraffic(traffic, now);
+        const auto receiveInHalfSecond = [&](std::uint64_t received) {
             traffic.received += received;
             now += 500ms;
-            narrow.onTraffic(traffic, now);
+            shedderWithLinkLimit.onTraffic(traffic, now);
         };
-        halfSecond(linkBytes / 4);
-        EXPECT_TRUE(narrow.ready(now));
-        halfSecond(linkBytes * 2 / 5);
-        EXPECT_FALSE(narrow.ready(now));
-        EXPECT_EQ(narrow.onRequest({}, now), LoadShedVerdict::Accept) << "there is room left for what comes anyway";
-        halfSecond(linkBytes / 2);
-        EXPECT_EQ(narrow.onRequest({}, now), LoadShedVerdict::Refuse);
-        halfSecond(linkBytes / 10);
-        EXPECT_EQ(narrow.onRequest({}, now), LoadShedVerdict::Accept);
+        receiveInHalfSecond(linkBytes / 4);
+        EXPECT_TRUE(shedderWithLinkLimit.ready(now));
+        receiveInHalfSecond(linkBytes * 2 / 5);
+        EXPECT_FALSE(shedderWithLinkLimit.ready(now));
+        EXPECT_EQ(shedderWithLinkLimit.onRequest({}, now), LoadShedVerdict::Accept)
+            << "the link still has room for callers that are connected already";
+        receiveInHalfSecond(linkBytes / 2);
+        EXPECT_EQ(shedderWithLinkLimit.onRequest({}, now), LoadShedVerdict::Refuse);
+        receiveInHalfSecond(linkBytes / 10);
+        EXPECT_EQ(shedderWithLinkLimit.onRequest({}, now), LoadShedVerdict::Accept);
         now += 3s;
-        EXPECT_TRUE(narrow.ready(now));
+        EXPECT_TRUE(shedderWithLinkLimit.ready(now));
     }
 
-    TEST_F(LoadShedderTest, AFewCallersThatLeftSayNothing)
+    TEST_F(LoadShedderTest, FewDisconnectedCallersLeaveItReady)
     {
         for (int count = 0; count < 10; ++count) {
-            EXPECT_EQ(intake.onRequest({ 0ms, 0, true }, now), LoadShedVerdict::Drop);
+            EXPECT_EQ(shedder.onRequest({ 0ms, 0, true }, now), LoadShedVerdict::Drop);
         }
-        EXPECT_TRUE(intake.ready(now));
+        EXPECT_TRUE(shedder.ready(now));
     }
 
 } // namespace
--- a/tests/routing/RendezvousSelectorTest.cpp
+++ b/tests/routing/RendezvousSelectorTest.cpp
@@ -7,7 +7,7 @@
 
     class RendezvousSelectorTest : public TableTest {
     protected:
-        [[nodiscard]] static SelectRequest about(std::uint64_t prefix, Tokens shared = Tokens { 5'000 })
+        [[nodiscard]] static SelectRequest requestWithPrefix(std::uint64_t prefix, Tokens shared = Tokens { 5'000 })
         {
             SelectRequest request;
             request.service = drafts;
@@ -17,7 +17,7 @@
             return request;
         }
 
-        [[nodiscard]] static std::unique_ptr<Selector> router(std::uint64_t seed, FailureDomain domain)
+        [[nodiscard]] static std::unique_ptr<Selector> makeRendezvousSelector(std::uint64_t seed, FailureDomain domain)
         {
             SelectorSettings settings;
             settings.domain = std::move(domain);
@@ -27,22 +27,22 @@
 
         [[nodiscard]] BackendId choose(Selector& selector, std::uint64_t prefix)
         {
-            return selector.choose(about(prefix), table_, now_).value().backend;
+            return selector.choose(requestWithPrefix(prefix), table_, now_).value().backend;
         }
     };
 
-    // Symptom: engines compute the same shared prompt again and again, though one of them has it cached.
-    // Events: hundreds of prefixes, each asked for seldom by any one router.
-    // Cause: each router went by what it had seen itself.
+    // Guards against engines that prefill the same shared prompt again and again though one of them has it cached. With
+    // hundreds of prefixes, each seldom requested from any one router, a router's own traffic doesn't show which engine
+    // has a prefix cached.
     TEST_F(RendezvousSelectorTest, AllRoutersSendOnePrefixToOneEngine)
     {
-        add(10, 10);
-        const auto left = router(1, home);
-        const auto right = router(2, away);
+        setEngines(10, 10);
+        const auto ownSelector = makeRendezvousSelector(1, ownDomain);
+        const auto otherSelector = makeRendezvousSelector(2, otherDomain);
         std::map<BackendId, int> used;
         for (std::uint64_t prefix = 1; prefix <= 400; ++prefix) {
-            EXPECT_EQ(choose(*left, prefix), choose(*right, prefix));
-            ++used[choose(*left, prefix)];
+            EXPECT_EQ(choose(*ownSelector, prefix), choose(*otherSelector, prefix));
+            ++used[choose(*ownSelector, prefix)];
         }
         EXPECT_EQ(used.size(), 20U);
         for (const auto& [backend, count] : used) {
@@ -52,28 +52,27 @@
 
     TEST_F(RendezvousSelectorTest, LossOfAnEngineMovesOnlyItsPrefixes)
     {
-        add(20);
-        const auto selector = router(1, home);
+        setEngines(20);
+        const auto selector = makeRendezvousSelector(1, ownDomain);
         std::map<std::uint64_t, BackendId> before;
         for (std::uint64_t prefix = 1; prefix <= 200; ++prefix) {
             before[prefix] = choose(*selector, prefix);
         }
-        const BackendId lost = engine(7);
-        table_.onLeaving(lost, now_);
+        const BackendId leavingEngine = engine(7);
+        table_.onLeaving(leavingEngine, now_);
         for (const auto& [prefix, backend] : before) {
-            if (backend != lost) {
+            if (backend != leavingEngine) {
                 EXPECT_EQ(choose(*selector, prefix), backend);
             }
         }
     }
 
-    // Symptom: one engine is full and late while the others idle.
-    // Events: a quarter of all requests are about one thing.
-    // Cause: its prefix has one home, whatever waits there.
+    // Guards against one overloaded engine while the others are idle, when a quarter of all requests have the same
+    // prefix and all of them go to its home.
     TEST_F(RendezvousSelectorTest, PopularPrefixSpreadsOverItsNextEngines)
     {
-        add(20);
-        const auto selector = router(1, home);
+        setEngines(20);
+        const auto selector = makeRendezvousSelector(1, ownDomain);
         std::map<BackendId, int> used;
         for (int request = 0; request < 40; ++request) {
             const BackendId backend = choose(*selector, 99);
@@ -85,66 +84,65 @@
         }
     }
 
-    // Symptom: three quarters of all small requests cross to another failure domain, whose bytes are dear, for a few
-    // hundred cached tokens.
-    // Events: requests share 200 to 600 tokens each; their home is in another domain.
-    // Cause: a prefix had one home in the whole fleet, however short it was.
-    // Symptom: in a flood first events come a quarter of a second late at homes of prefixes, while other engines are
-    // quick. Events: prompts of ten thousand tokens come to a prefix's home, one right after the other. Cause: an
-    // engine was judged by how many requests it has, not by what it still has to read.
-    TEST_F(RendezvousSelectorTest, HomeThatHasMuchToReadIsPassedOverUntilItHasRead)
+    // Guards against first tokens that come a quarter of a second late at homes of prefixes while other engines are
+    // fast: prompts of ten thousand tokens reach a prefix's home one right after the other, and the number of requests
+    // in flight does not show how much the engine still has to prefill.
+    TEST_F(RendezvousSelectorTest, HomeWithLongPrefillQueueIsSkippedUntilThePrefillIsDone)
     {
-        add(10);
-        const auto selector = router(1, home);
+        setEngines(10);
+        const auto selector = makeRendezvousSelector(1, ownDomain);
         const BackendId first = choose(*selector, 5);
-        const auto reads = [&](const BackendId& backend) {
+        const auto dispatchLongPrompt = [&](const BackendId& backend) {
             const AttemptId attempt { ++lastAttempt_ };
             table_.onDispatched(backend, attempt, { 0, Tokens { 10'000 }, {} }, now_);
             return attempt;
         };
-        const AttemptId reading = reads(first);
-        const Choice second = selector->choose(about(5), table_, now_).value();
+        const AttemptId firstAttempt = dispatchLongPrompt(first);
+        const Choice second = selector->choose(requestWithPrefix(5), table_, now_).value();
         EXPECT_NE(second.backend, first);
         EXPECT_TRUE(second.prefillsSharedPart);
-        EXPECT_EQ(choose(*selector, 5), second.backend) << "always the same second home, so that it has the prefix";
-        const AttemptId there = reads(second.backend);
-        EXPECT_EQ(choose(*selector, 5), first) << "where both have as much to read, the shared part decides";
-        table_.onFirstToken(first, reading, now_);
+        EXPECT_EQ(choose(*selector, 5), second.backend)
+            << "the second home must always be the same engine, so that the prefix gets cached there";
+        const AttemptId secondAttempt = dispatchLongPrompt(second.backend);
+        EXPECT_EQ(choose(*selector, 5), first) << "both have as much to prefill, so the shared part decides";
+        table_.onFirstToken(first, firstAttempt, now_);
         EXPECT_EQ(choose(*selector, 5), first);
-        table_.onFinished(second.backend, there, { EndKind::Cancelled, {}, {} }, now_);
+        table_.onFinished(second.backend, secondAttempt, { EndKind::Cancelled, {}, {} }, now_);
         EXPECT_EQ(choose(*selector, 5), first);
     }
 
-    // Symptom: a prefix is read again by engine after engine, though its home is a moment away from free.
-    // Events: the home has one short prompt to read.
-    // Cause: any difference moved a request.
-    TEST_F(RendezvousSelectorTest, AShortWaitAtHomeIsCheaperThanReadingAgain)
+    // Guards against a prefix that is prefilled again by engine after engine because its home has one short prompt to
+    // prefill: a small difference must not move a request.
+    TEST_F(RendezvousSelectorTest, ShortWaitAtTheHomeCostsLessThanPrefillElsewhere)
     {
-        add(10);
-        const auto selector = router(1, home);
+        setEngines(10);
+        const auto selector = makeRendezvousSelector(1, ownDomain);
         const BackendId first = choose(*selector, 5);
         table_.onDispatched(first, AttemptId { ++lastAttempt_ }, { 0, Tokens { 4'000 }, {} }, now_);
         EXPECT_EQ(choose(*selector, 5), first);
     }
 
+    // Guards against three quarters of all small requests crossing to another failure domain over an expensive link for
+    // a few hundred cached tokens: requests share 200 to 600 tokens each, and their prefix must not have a single home
+    // in the whole fleet.
     TEST_F(RendezvousSelectorTest, ShortPrefixHasAHomeInEachDomain)
     {
-        add(10, 10);
-        const auto left = router(1, home);
-        const auto right = router(2, away);
+        setEngines(10, 10);
+        const auto ownSelector = makeRendezvousSelector(1, ownDomain);
+        const auto otherSelector = makeRendezvousSelector(2, otherDomain);
         for (std::uint64_t prefix = 1; prefix <= 100; ++prefix) {
-            const auto request = about(prefix, Tokens { 500 });
-            const BackendId first = left->choose(request, table_, now_).value().backend;
-            EXPECT_EQ(left->choose(request, table_, now_).value().backend, first);
-            EXPECT_NE(right->choose(request, table_, now_).value().backend, first);
+            const auto request = requestWithPrefix(prefix, Tokens { 500 });
+            const BackendId first = ownSelector->choose(request, table_, now_).value().backend;
+            EXPECT_EQ(ownSelector->choose(request, table_, now_).value().backend, first);
+            EXPECT_NE(otherSelector->choose(request, table_, now_).value().backend, first);
         }
     }
 
-    TEST_F(RendezvousSelectorTest, WithoutAPrefixTheLeastLoadedOfTheOwnDomainIsTaken)
+    TEST_F(RendezvousSelectorTest, WithoutPrefixSelectsLeastInFlightOfOwnDomain)
     {
-        add(2, 2);
+        setEngines(2, 2);
         dispatch(1);
-        const auto selector = router(1, home);
+        const auto selector = makeRendezvousSelector(1, ownDomain);
         for (int request = 0; request < 20; ++request) {
             EXPECT_EQ(choose(*selector, 0), engine(2));
         }
--- a/tests/routing/RetryBudgetTest.cpp
+++ b/tests/routing/RetryBudgetTest.cpp
@@ -9,9 +9,8 @@
 
     using namespace std::chrono_literals;
 
-    // Symptom: a short outage of half the backend servers becomes a long one of all.
-    // Events: each request that fails is tried twice more, which trebles the load of what is left.
-    // Cause: retries had no bound but a number for each request.
+    // Guards against a short outage of half the backend servers that becomes a long one of all: if retries are bounded
+    // only per request, two retries of each failed request triple the load on the remaining servers.
     TEST(RetryBudgetTest, RetriesStayWithinTheirPercentage)
     {
         RetryBudget budget { 10 };
@@ -23,10 +22,11 @@
             retries += budget.tryRetry(now) ? 1 : 0;
         }
         EXPECT_GE(retries, 1'000);
-        EXPECT_LE(retries, 1'010) << "with those saved at the start and the trickle of ten seconds";
+        EXPECT_LE(retries, 1'010)
+            << "1,000 retries earned by first attempts, and those of the initial budget and of ten seconds";
     }
 
-    TEST(RetryBudgetTest, AQuietServiceMayRetryNowAndThen)
+    TEST(RetryBudgetTest, ServiceWithoutTrafficMayRetryEveryFiveSeconds)
     {
         RetryBudget budget { 10 };
         Instant now { 10s };
@@ -38,7 +38,7 @@
         EXPECT_FALSE(budget.tryRetry(now));
     }
 
-    TEST(RetryBudgetTest, NonePercentIsNone)
+    TEST(RetryBudgetTest, ZeroPercentAllowsNoRetries)
     {
         RetryBudget budget { 0 };
         budget.onFirstAttempt(Instant { 10s });
--- a/tests/routing/RetryShareTest.cpp
+++ b/tests/routing/RetryShareTest.cpp
@@ -12,27 +12,26 @@
     constexpr RetryBound bound { 0.2, 52, 10s };
     constexpr Instant start {};
 
-    // Symptom: repeats overload a service that is failing already.
-    // Events: routers that hear nothing of each other all repeat as much as the fleet may.
-    // Cause: each took the whole bound for its own.
-    TEST(RetryShareTest, RoutersThatHearNobodyKeepTheBoundTogether)
+    // Guards against retries that overload a failing service because routers that are cut off from each other each use
+    // the whole bound of the fleet.
+    TEST(RetryShareTest, RoutersWithoutCommunicationKeepTheFleetsBound)
     {
         constexpr std::uint32_t routers = 6;
         std::vector<RetryShare> fleet(routers, RetryShare(bound));
         std::mt19937_64 random(1);
         int requests = 0;
-        int repeats = 0;
+        int retries = 0;
         for (Instant now = start; now < start + 10s; now += 5ms) {
             RetryShare& router = fleet[random() % 2 == 0 ? 0 : random() % routers];
             router.onRequest(now);
             ++requests;
-            repeats += router.take(routers, now) ? 1 : 0;
+            retries += router.take(routers, now) ? 1 : 0;
         }
-        EXPECT_LE(repeats, 0.2 * requests + 52);
-        EXPECT_GE(repeats, 0.15 * requests);
+        EXPECT_LE(retries, 0.2 * requests + 52);
+        EXPECT_GE(retries, 0.15 * requests);
     }
 
-    TEST(RetryShareTest, OldRepeatsLeaveTheWindow)
+    TEST(RetryShareTest, OldRetriesLeaveTheWindow)
     {
         RetryShare share({ 0, 10, 10s });
         for (int repeat = 0; repeat < 9; ++repeat) {
@@ -43,7 +42,7 @@
         EXPECT_TRUE(share.take(1, start + 10s + 1us));
     }
 
-    TEST(RetryShareTest, MoreRoutersMeanASmallerShareEach)
+    TEST(RetryShareTest, ShareIsDividedByTheNumberOfRouters)
     {
         RetryShare share({ 0, 40, 10s });
         int taken = 0;
--- a/tests/routing/SelectorTest.cpp
+++ b/tests/routing/SelectorTest.cpp
@@ -11,32 +11,36 @@
 
     class SelectorTest : public TableTest {
     protected:
-        /** How often each was chosen; nothing is dispatched. */
-        std::map<BackendId, int> tally(Selector& selector, const SelectRequest& wanted, int times)
+        /** @return How often each backend server was selected for the request; nothing is dispatched. */
+        std::map<BackendId, int> countChoices(Selector& selector, const SelectRequest& selectRequest, int times)
         {
             std::map<BackendId, int> chosen;
             for (int i = 0; i < times; ++i) {
-                if (const auto choice = selector.choose(wanted, table_, now_)) {
+                if (const auto choice = selector.choose(selectRequest, table_, now_)) {
                     ++chosen[choice->backend];
                 }
             }
             return chosen;
         }
 
-        /** Eight routers with the same reports, in which engine 1 of 20 looks idle, send `each` requests before the
-         * next. */
-        std::map<BackendId, int> herd(const std::string& name, int each)
+        /**
+         * @brief Lets eight routers select between two load reports, the first of which shows only engine 1 of 20 idle.
+         * @param name The selector.
+         * @param each Number of requests that each router sends.
+         * @return Requests sent to each backend server.
+         */
+        std::map<BackendId, int> sendFromEightRouters(const std::string& name, int each)
         {
             std::map<BackendId, int> total;
             for (std::uint64_t router = 1; router <= 8; ++router) {
                 table_ = BackendTable {};
-                add(20);
+                setEngines(20);
                 for (int number = 2; number <= 20; ++number) {
                     table_.onLoad(engine(number), report(3), now_);
                 }
-                const auto own = selector(name, router);
+                const auto routerSelector = selector(name, router);
                 for (int i = 0; i < each; ++i) {
-                    const auto choice = own->choose(request(), table_, now_);
+                    const auto choice = routerSelector->choose(request(), table_, now_);
                     ++total[choice.value().backend];
                     table_.onDispatched(choice->backend, AttemptId { ++lastAttempt_ }, { 0, Tokens { 100 }, {} }, now_);
                 }
@@ -44,7 +48,8 @@
             return total;
         }
 
-        static int mostOf(const std::map<BackendId, int>& chosen)
+        /** @return The highest count of any backend server. */
+        static int highestCount(const std::map<BackendId, int>& chosen)
         {
             const auto most = std::max_element(chosen.begin(), chosen.end(),
                 [](const auto& left, const auto& right) { return left.second < right.second; });
@@ -52,31 +57,30 @@
         }
     };
 
-    // Symptom: `no_backend`, "4 broken", while the service answers eight requests in nine.
-    // Events: each of its servers answers three requests in a row with a failure.
-    // Cause: their breakers were all open, and nothing was sent to servers that were known to answer.
-    TEST_F(SelectorTest, ServersThatAnswerAreUsedWhenAllAreHeldBack)
+    // Guards against refusals with `no_backend`, "4 broken", while the service answers eight requests in nine: each of
+    // its servers has answered three requests in a row with a failure, so all breakers are open.
+    TEST_F(SelectorTest, SelectsServersThatAnswerWhenAllBreakersAreOpen)
     {
-        add(3, 1);
-        const auto any = selector("rendezvous");
+        setEngines(3, 1);
+        const auto rendezvous = selector("rendezvous");
         for (int number = 1; number <= 4; ++number) {
             for (int time = 0; time < 3; ++time) {
                 finish(number, dispatch(number), EndKind::Failed);
             }
             EXPECT_EQ(view(number).state, BackendState::Broken);
         }
-        SelectRequest once = request();
-        once.idempotent = false;
-        EXPECT_TRUE(any->choose(once, table_, now_));
-        EXPECT_TRUE(any->choose(request(), table_, now_));
-        // One that is not reached at all is no resort.
+        SelectRequest nonIdempotent = request();
+        nonIdempotent.idempotent = false;
+        EXPECT_TRUE(rendezvous->choose(nonIdempotent, table_, now_));
+        EXPECT_TRUE(rendezvous->choose(request(), table_, now_));
+        // Backend servers whose last attempt broke are not used as a last resort.
         for (int number = 1; number <= 4; ++number) {
             finish(number, dispatch(number), EndKind::Broken);
         }
-        EXPECT_FALSE(any->choose(request(), table_, now_));
+        EXPECT_FALSE(rendezvous->choose(request(), table_, now_));
     }
 
-    TEST_F(SelectorTest, MakesEachByName)
+    TEST_F(SelectorTest, MakeSelectorReturnsTheNamedSelector)
     {
         for (const std::string name : { "affinity", "random", "round_robin", "least_load" }) {
             ASSERT_NE(selector(name), nullptr);
@@ -85,54 +89,55 @@
         EXPECT_EQ(selector("best"), nullptr);
     }
 
-    TEST_F(SelectorTest, NoneSendsAnythingToALeavingBackend)
+    TEST_F(SelectorTest, NoSelectorSelectsALeavingBackend)
     {
-        add(3);
+        setEngines(3);
         table_.onLeaving(engine(2), now_);
         for (const std::string name : { "affinity", "random", "round_robin", "least_load" }) {
-            const auto chosen = tally(*selector(name), request(), 200);
+            const auto chosen = countChoices(*selector(name), request(), 200);
             EXPECT_FALSE(chosen.contains(engine(2))) << name;
             EXPECT_FALSE(chosen.empty());
         }
     }
 
-    // Symptom: backend servers take turns in being overloaded.
-    // Events: eight routers see the same reports, half a second old; each takes the least loaded one.
-    // Cause: all take the same one, until the next report.
-    TEST_F(SelectorTest, EightRoutersWithTheSameLateReportsSpread)
+    // Guards against one backend server after the other being overloaded: eight routers with the same load reports,
+    // half a second old, would all select the least loaded server until the next report.
+    TEST_F(SelectorTest, EightRoutersWithTheSameOldReportsSpreadTheirRequests)
     {
-        const auto few = herd("affinity", 3);
-        EXPECT_LE(mostOf(few), 6) << "of 24 requests for 20 engines";
-        const auto many = herd("affinity", 25);
+        const auto few = sendFromEightRouters("affinity", 3);
+        EXPECT_LE(highestCount(few), 6) << "24 requests for 20 engines";
+        const auto many = sendFromEightRouters("affinity", 25);
         EXPECT_EQ(many.size(), 20U);
-        EXPECT_LE(mostOf(many), 30) << "of 200, engine 1, which looks idle, included";
-        EXPECT_EQ(mostOf(herd("least_load", 3)), 24) << "what the sample is for";
+        EXPECT_LE(highestCount(many), 30) << "200 requests for 20 engines, of which engine 1 is reported idle";
+        EXPECT_EQ(highestCount(sendFromEightRouters("least_load", 3)), 24)
+            << "without a random sample, all requests go to engine 1";
     }
 
-    TEST_F(SelectorTest, PrefersTheHolderOfThePrefixUnlessItIsLoaded)
+    TEST_F(SelectorTest, AffinityPrefersCachedPrefixUnlessTheServerIsLoaded)
     {
-        add(10);
+        setEngines(10);
         table_.onCacheEvents(engine(4), { { 0, CacheChange::Stored, 7 } }, now_);
         const auto affinity = selector();
-        EXPECT_EQ(tally(*affinity, request(7), 100)[engine(4)], 100);
-        EXPECT_LT(tally(*affinity, request(8), 100)[engine(4)], 50);
+        EXPECT_EQ(countChoices(*affinity, request(7), 100)[engine(4)], 100);
+        EXPECT_LT(countChoices(*affinity, request(8), 100)[engine(4)], 50);
         table_.onLoad(engine(4), report(8, 1), now_);
-        EXPECT_EQ(tally(*affinity, request(7), 100)[engine(4)], 0) << "waiting costs more than the prefix saves";
+        EXPECT_EQ(countChoices(*affinity, request(7), 100)[engine(4)], 0)
+            << "the wait at the server costs more than the cached prefix saves";
     }
 
-    TEST_F(SelectorTest, StaysInTheDomainUntilItIsOverloadedOrGone)
+    TEST_F(SelectorTest, StaysInOwnDomainUntilItIsOverloadedOrLeaving)
     {
-        add(3, 3);
+        setEngines(3, 3);
         const auto affinity = selector();
         const auto inDomain = [&](const std::map<BackendId, int>& chosen) {
             return chosen.contains(engine(1)) || chosen.contains(engine(2)) || chosen.contains(engine(3));
         };
-        auto chosen = tally(*affinity, request(), 100);
+        auto chosen = countChoices(*affinity, request(), 100);
         EXPECT_EQ(chosen[engine(1)] + chosen[engine(2)] + chosen[engine(3)], 100);
         for (int number = 1; number <= 3; ++number) {
             table_.onLoad(engine(number), report(2, 1), now_);
         }
-        EXPECT_FALSE(inDomain(tally(*affinity, request(), 100)));
+        EXPECT_FALSE(inDomain(countChoices(*affinity, request(), 100)));
         for (int number = 1; number <= 3; ++number) {
             table_.onLeaving(engine(number), now_);
         }
@@ -141,70 +146,73 @@
         EXPECT_NE(choice->reason.find("own has none"), std::string::npos);
     }
 
-    TEST_F(SelectorTest, LetsRequestsWaitHereWhenAllAreFull)
+    TEST_F(SelectorTest, ReportsAllFullWhenTooManyRequestsWaitEverywhere)
     {
-        add(2);
+        setEngines(2);
         table_.onLoad(engine(1), report(8, 2), now_);
         table_.onLoad(engine(2), report(8, 3), now_);
         const auto affinity = selector();
         EXPECT_FALSE(affinity->choose(request(), table_, now_));
         EXPECT_EQ(affinity->noChoice(), NoChoice::AllFull);
         EXPECT_GT(affinity->retryAfter(), 0s);
-        SelectRequest urgent = request();
-        urgent.priority = Priority::Interactive;
-        EXPECT_TRUE(affinity->choose(urgent, table_, now_));
+        SelectRequest interactive = request();
+        interactive.priority = Priority::Interactive;
+        EXPECT_TRUE(affinity->choose(interactive, table_, now_));
     }
 
-    TEST_F(SelectorTest, SaysWhyThereIsNone)
+    TEST_F(SelectorTest, ExplainsWhyNoBackendIsSelected)
     {
-        add(4);
+        setEngines(4);
         table_.onLeaving(engine(1), now_);
-        fail(2);
-        LoadReport other = report(0);
-        other.models = { "tags-1b" };
-        table_.onLoad(engine(3), other, now_);
-        SelectRequest wanted = request();
-        wanted.excluded = { engine(4) };
+        breakAttempts(2);
+        LoadReport otherModel = report(0);
+        otherModel.models = { "tags-1b" };
+        table_.onLoad(engine(3), otherModel, now_);
+        SelectRequest selectRequest = request();
+        selectRequest.excluded = { engine(4) };
         const auto affinity = selector();
-        EXPECT_FALSE(affinity->choose(wanted, table_, now_));
+        EXPECT_FALSE(affinity->choose(selectRequest, table_, now_));
         EXPECT_EQ(affinity->noChoice(), NoChoice::NoBackend);
         EXPECT_EQ(affinity->lastReason(), "1 broken, 1 leaving, 1 tried already, 1 without the model");
-        EXPECT_GE(affinity->retryAfter(), 700ms) << "when the breaker lets a probe through";
+        EXPECT_GE(affinity->retryAfter(), 700ms) << "the breaker allows a probe after its open time of 1 s with jitter";
         EXPECT_LE(affinity->retryAfter(), 1300ms);
-        wanted.service = ServiceName { "nobody" };
-        EXPECT_FALSE(affinity->choose(wanted, table_, now_));
+        selectRequest.service = ServiceName { "nobody" };
+        EXPECT_FALSE(affinity->choose(selectRequest, table_, now_));
     }
 
-    // A probe risks its request: never one that may not be run again, nor an urgent one while others are usable.
-    TEST_F(SelectorTest, ProbesAreFewAndNeverRiskWhatMayNotBeRepeated)
+    // The request of a probe may get lost, so non-idempotent requests are never probes, and interactive ones only if no
+    // other backend server is usable.
+    TEST_F(SelectorTest, ProbesAreFewAndNeverNonIdempotentRequests)
     {
-        add(2);
-        fail(1);
+        setEngines(2);
+        breakAttempts(1);
         now_ += 2s;
         const auto affinity = selector();
-        const auto chosen = tally(*affinity, request(), 400);
+        const auto chosen = countChoices(*affinity, request(), 400);
         EXPECT_GT(chosen.at(engine(1)), 10);
         EXPECT_LT(chosen.at(engine(1)), 90);
-        SelectRequest urgent = request();
-        urgent.priority = Priority::Interactive;
-        EXPECT_FALSE(tally(*affinity, urgent, 200).contains(engine(1)));
-        SelectRequest once = request();
-        once.idempotent = false;
-        EXPECT_FALSE(tally(*affinity, once, 200).contains(engine(1)));
-        once.excluded = { engine(2) };
-        EXPECT_FALSE(affinity->choose(once, table_, now_)) << "not even when it is the last one";
+        SelectRequest interactive = request();
+        interactive.priority = Priority::Interactive;
+        EXPECT_FALSE(countChoices(*affinity, interactive, 200).contains(engine(1)));
+        SelectRequest nonIdempotent = request();
+        nonIdempotent.idempotent = false;
+        EXPECT_FALSE(countChoices(*affinity, nonIdempotent, 200).contains(engine(1)));
+        nonIdempotent.excluded = { engine(2) };
+        EXPECT_FALSE(affinity->choose(nonIdempotent, table_, now_))
+            << "no probe even if no other backend server is left";
     }
 
-    TEST_F(SelectorTest, SimpleOnesDoAsTheySay)
+    TEST_F(SelectorTest, LeastLoadRoundRobinAndRandomSelectAsNamed)
     {
-        add(3);
+        setEngines(3);
         table_.onLoad(engine(1), report(4), now_);
         table_.onLoad(engine(2), report(1), now_);
         table_.onLoad(engine(3), report(4), now_);
-        EXPECT_EQ(tally(*selector("least_load"), request(), 10)[engine(2)], 10);
-        const auto inTurn = tally(*selector("round_robin"), request(), 9);
-        EXPECT_TRUE(std::all_of(inTurn.begin(), inTurn.end(), [](const auto& entry) { return entry.second == 3; }));
-        EXPECT_EQ(tally(*selector("random"), request(), 100).size(), 3U);
+        EXPECT_EQ(countChoices(*selector("least_load"), request(), 10)[engine(2)], 10);
+        const auto roundRobin = countChoices(*selector("round_robin"), request(), 9);
+        EXPECT_TRUE(
+            std::all_of(roundRobin.begin(), roundRobin.end(), [](const auto& entry) { return entry.second == 3; }));
+        EXPECT_EQ(countChoices(*selector("random"), request(), 100).size(), 3U);
     }
 
 } // namespace
--- a/tests/routing/TableFixture.h
+++ b/tests/routing/TableFixture.h
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 
 inline const ServiceName drafts { "drafts" };
-inline const FailureDomain home { "regina-a" };
-inline const FailureDomain away { "regina-b" };
+inline const FailureDomain ownDomain { "regina-a" };
+inline const FailureDomain otherDomain { "regina-b" };
 
 [[nodiscard]] inline BackendId engine(int number)
 {
@@ -28,14 +28,19 @@
     return { running, waiting, 3ms, { "stitch-7b" }, false, generation };
 }
 
-/** A table with backend servers of the own failure domain, all reported idle. */
+/** @brief A table with backend servers of two failure domains; load reports show all of them idle. */
 class TableTest : public testing::Test {
 protected:
-    void add(int own, int others = 0)
+    /**
+     * @brief Replaces the backend servers of the service.
+     * @param own Number of backend servers in the router's own failure domain; they have the numbers from 1.
+     * @param others Number of backend servers in another failure domain, with the numbers after those.
+     */
+    void setEngines(int own, int others = 0)
     {
         std::vector<BackendEntry> entries;
         for (int number = 1; number <= own + others; ++number) {
-            entries.push_back({ engine(number), number <= own ? home : away });
+            entries.push_back({ engine(number), number <= own ? ownDomain : otherDomain });
         }
         table_.setBackends(drafts, entries, now_);
         for (const BackendEntry& entry : entries) {
@@ -43,6 +48,7 @@
         }
     }
 
+    /** @return The attempt that was dispatched to the backend server with this number. */
     AttemptId dispatch(int number, std::uint64_t prefix = 0, Tokens prompt = Tokens { 100 })
     {
         const AttemptId attempt { ++lastAttempt_ };
@@ -55,7 +61,8 @@
         table_.onFinished(engine(number), attempt, { kind, {}, {} }, now_);
     }
 
-    void fail(int number, int times = 3)
+    /** @brief Dispatches and breaks attempts; three in a row open the breaker. */
+    void breakAttempts(int number, int times = 3)
     {
         for (int i = 0; i < times; ++i) {
             finish(number, dispatch(number), EndKind::Broken);
@@ -81,7 +88,7 @@
         const std::string& name = "affinity", std::uint64_t seed = 1)
     {
         SelectorSettings settings;
-        settings.domain = home;
+        settings.domain = ownDomain;
         settings.seed = seed;
         return makeSelector(name, settings);
     }
