--- a/include/swiftlift/quarantine/Quarantine.h
+++ b/include/swiftlift/quarantine/Quarantine.h
@@ -61,7 +61,7 @@
 
     /** @return Why the request must not be sent; nothing if it may be sent. */
     [[nodiscard]] std::optional<QuarantineEntry> quarantineEntry(const Fingerprint& request) const;
-    /** @return Number of backend server instances known to have ended while they ran the request. */
+    /** @return Number of backend server instances reported to have ended while they ran the request. */
     [[nodiscard]] std::size_t serversEnded(const Fingerprint& request) const;
     /** @return True if this router got an answer to the request within the last `answerLifetime`. */
     [[nodiscard]] bool answeredRecently(const Fingerprint& request, Instant now) const;
@@ -77,7 +77,7 @@
     std::vector<ReportId> expire(Instant now);
 
 private:
-    /** @brief The reports that one backend server instance ended while it ran one request. */
+    /** @brief Loss reports about one suspect that name the same backend server instance. */
     struct InstanceReports {
         std::set<ReportId> reports;
         Instant lastReport {};
--- a/include/swiftlift/quarantine/ReportOutbox.h
+++ b/include/swiftlift/quarantine/ReportOutbox.h
@@ -35,7 +35,7 @@
     explicit ReportOutbox(Incarnation self);
 
     /**
-     * @brief Adds the request to the report about the instance that still gathers requests, or begins such a report.
+     * @brief Adds the request to the report about the instance that is being gathered, or begins a new report.
      * @return The report with the requests gathered so far.
      */
     [[nodiscard]] Report onRequestLost(const Fingerprint& request, const BackendInstance& instance, Instant now);
@@ -85,8 +85,8 @@
     [[nodiscard]] std::size_t unread() const noexcept { return pendingWrites_.size(); }
 
 private:
-    /** How long a report takes in requests. The requests of a server that ended fail within some tens of milliseconds,
-     * the time in which the router reads all their connections. */
+    /** How long requests are added to a report. The requests of a server that ended fail within some tens of
+     * milliseconds, the time in which the router reads all their connections. */
     static constexpr Duration gatherTime = std::chrono::milliseconds(100);
     /** How long a write may stay unread before it is repeated. */
     static constexpr Duration rewritePeriod = std::chrono::seconds(1);
--- a/include/swiftlift/request/Outcome.h
+++ b/include/swiftlift/request/Outcome.h
@@ -4,7 +4,7 @@
 
 namespace swiftlift::request {
 
-/** @brief The final outcome of a request as the caller is told. */
+/** @brief The final outcome of a request, as reported to the caller. */
 enum class Outcome : std::uint8_t {
     /** The request ran and its answer went to the caller. */
     Answered,
--- a/include/swiftlift/request/RequestTable.h
+++ b/include/swiftlift/request/RequestTable.h
@@ -41,7 +41,7 @@
     bool attemptRunning = false;
     /** An ended attempt at a backend server may have started the request. */
     bool maybeStarted = false;
-    /** The outcome that the caller was told; nothing while the request is in progress. */
+    /** The outcome that was reported to the caller; nothing while the request is in progress. */
     std::optional<Outcome> ended;
     /** Reason code of the outcome. */
     std::string reason;
@@ -55,7 +55,7 @@
     Proceed,
     /** An earlier attempt of the same request is in progress at this router. */
     InProgress,
-    /** The caller was told the outcome of this request already, and the request must not run again. */
+    /** The outcome of this request was reported to the caller already, and the request must not run again. */
     AlreadyEnded,
 };
 
@@ -117,11 +117,11 @@
     /** @brief Records how the attempt in progress at a backend server ended. */
     void attemptEnded(const RequestKey& key, AttemptEnd end);
 
-    /** @return The outcome that the caller may be told if this router gives the request up now. */
+    /** @return The outcome that may be reported to the caller if this router gives the request up now. */
     [[nodiscard]] Outcome outcomeIfGivenUp(const RequestKey& key) const;
 
     /**
-     * @brief Records the outcome that the caller is told; the request is not dispatched again unless it is retried.
+     * @brief Records the outcome that is reported to the caller; the request is dispatched again only if it is retried.
      * @param key The request, which must be in progress.
      * @param outcome The outcome.
      * @param reason Reason code of the outcome.
--- a/include/swiftlift/routing/Admission.h
+++ b/include/swiftlift/routing/Admission.h
@@ -11,7 +11,7 @@
 
 namespace swiftlift::routing {
 
-/** @brief What to do with a request that asks for admission. */
+/** @brief What to do with a request on which Admission has decided. */
 enum class AdmissionVerdict : std::uint8_t {
     /** Send the request to a backend server now. */
     Dispatch,
--- a/include/swiftlift/routing/BackendTable.h
+++ b/include/swiftlift/routing/BackendTable.h
@@ -30,7 +30,8 @@
     Duration reportLifetime = std::chrono::seconds(5);
     /** Consecutive failures that open the circuit breaker. */
     std::uint32_t breakerFailures = 3;
-    /** How long the breaker stays open the first time; doubled each time that the probe fails. */
+    /** How long the breaker stays open the first time; doubled each time it opens again before the server has answered
+     * after a complete slow start. */
     Duration breakerFirstOpen = std::chrono::seconds(1);
     /** Maximum time that the breaker stays open, apart from jitter. */
     Duration breakerLongestOpen = std::chrono::seconds(30);
--- a/include/swiftlift/routing/Selector.h
+++ b/include/swiftlift/routing/Selector.h
@@ -63,11 +63,9 @@
 /** @brief Why no backend server was selected. */
 enum class NoChoice : std::uint8_t {
     None,
-    /** The service has no usable backend server: all are leaving, broken, paused, without the model, or tried already.
-     */
+    /** The service has no usable backend server: all are leaving, broken, paused, tried already or lack the model. */
     NoBackend,
-    /** All usable backend servers have the maximum number of waiting requests: the request should wait in the router.
-     */
+    /** Every usable backend server has the maximum number of waiting requests: this one should wait in the router. */
     AllFull,
 };
 
--- a/src/request/RequestTable.cpp
+++ b/src/request/RequestTable.cpp
@@ -140,8 +140,8 @@
         return Outcome::NotRun;
     }
     // An earlier attempt may be held by a suspended router, which resumes and dispatches it after this router has
-    // reported "not run"; the caller would then see an effect that it was told does not exist. So "not run" is reported
-    // only by a router that received every attempt of the caller; any other router reports "unknown".
+    // reported "not run"; the caller would then see an effect in spite of the outcome "not run". So "not run" is
+    // reported only by a router that received every attempt of the caller; any other router reports "unknown".
     return record->wholeHistoryKnown ? Outcome::NotRun : Outcome::Unknown;
 }
 
--- a/src/routing/Backend.h
+++ b/src/routing/Backend.h
@@ -38,7 +38,7 @@
     [[nodiscard]] bool idle() const noexcept { return load_.inFlight() == 0; }
     /** @param count Maximum number of prefixes to remember. */
     void setPrefixesKept(std::size_t count) { cache_.setCapacity(count); }
-    /** @brief Updates the entry of the service's document. A new instance resets everything learnt about the last one.
+    /** @brief Updates the entry of the service's document. A new instance resets the estimates of the last one.
      */
     void setEntry(const BackendEntry& entry, Instant now);
 
--- a/src/routing/Breaker.h
+++ b/src/routing/Breaker.h
@@ -13,8 +13,9 @@
 /**
  * @brief Circuit breaker of one backend server.
  *
- * Consecutive failures open the breaker for a time that doubles with each failed probe. Then one request is let through
- * as a probe; its success closes the breaker and begins a slow start.
+ * Consecutive failures open the breaker. After its open time, one request is let through as a probe: its success closes
+ * the breaker and begins a slow start, its failure opens the breaker again. The open time doubles each time the breaker
+ * opens, until the backend server has answered after a complete slow start.
  */
 class Breaker {
 public:
--- a/tests/request/RequestTableTest.cpp
+++ b/tests/request/RequestTableTest.cpp
@@ -17,9 +17,9 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::NotRun);
     }
 
-    // Guards against a caller being told "not run" and then seeing the effect of its request. The first attempt reaches
-    // router A, which is suspended; the retry reaches router B, which has no tokens for the request; A resumes and
-    // dispatches the first attempt, of which B has no record.
+    // Guards against reporting "not run" for a request that runs afterwards. The first attempt reaches router A, which
+    // is suspended; the retry reaches router B, which has no tokens for the request; A resumes and dispatches the first
+    // attempt, of which B has no record.
     TEST(RequestTable, RetryWhoseFirstAttemptWentElsewhereIsNotReportedNotRun)
     {
         RequestTable table;
@@ -36,8 +36,8 @@
         EXPECT_EQ(table.outcomeIfGivenUp(key), Outcome::NotRun);
     }
 
-    // Guards against a caller being told "not run" and then seeing the effect of its request, when the second attempt
-    // went to another router and the third came back to the first.
+    // Guards against reporting "not run" for a request that runs afterwards, when the second attempt went to another
+    // router and the third came back to the first.
     TEST(RequestTable, RetryThatSkippedAnAttemptIsNotReportedNotRun)
     {
         RequestTable table;
