--- a/include/swiftlift/ledger/Holder.h
+++ b/include/swiftlift/ledger/Holder.h
@@ -144,7 +144,7 @@
 };
 
 namespace internal {
-    class HolderBook;
+    class HolderImpl;
 }
 
 /**
@@ -218,7 +218,7 @@
     [[nodiscard]] std::string stateText() const;
 
 private:
-    std::unique_ptr<internal::HolderBook> book_;
+    std::unique_ptr<internal::HolderImpl> book_;
 };
 
 } // namespace swiftlift::ledger
--- a/src/ledger/LoanBorrowed.cpp
+++ b/src/ledger/BorrowedLoan.cpp
@@ -1,4 +1,4 @@
-#include "ledger/LoanBorrowed.h"
+#include "ledger/BorrowedLoan.h"
 
 #include <algorithm>
 #include <cassert>
@@ -14,12 +14,12 @@
 
 } // namespace
 
-Tokens LoanBorrowed::free() const noexcept
+Tokens BorrowedLoan::free() const noexcept
 {
     return state_ == LoanState::Held ? amount_ - billed_ - reserved_ : Tokens {};
 }
 
-void LoanBorrowed::given(GrantId grant, Tokens amount, bool holderOnly, Instant now)
+void BorrowedLoan::given(GrantId grant, Tokens amount, bool holderOnly, Instant now)
 {
     assert(state_ == LoanState::Asked && "a loan is given once");
     state_ = LoanState::Held;
@@ -29,14 +29,14 @@
     since_ = now;
 }
 
-void LoanBorrowed::reserve(Tokens amount, Instant now)
+void BorrowedLoan::reserve(Tokens amount, Instant now)
 {
     assert(amount <= free() && "never above the loan");
     reserved_ += amount;
     since_ = now;
 }
 
-void LoanBorrowed::settle(RequestKey key, Tokens reserved, Tokens billed)
+void BorrowedLoan::settle(RequestKey key, Tokens reserved, Tokens billed)
 {
     assert(billed <= reserved && reserved <= reserved_ && "a bill stays within its reservation");
     reserved_ -= reserved;
@@ -47,7 +47,7 @@
     unread_.insert(key);
 }
 
-bool LoanBorrowed::billRead(RequestKey key, Tokens tokens, bool counted)
+bool BorrowedLoan::billRead(RequestKey key, Tokens tokens, bool counted)
 {
     const auto found = unread_.find(key);
     if (found == unread_.end())
@@ -59,7 +59,7 @@
     return true;
 }
 
-void LoanBorrowed::end(Instant now)
+void BorrowedLoan::end(Instant now)
 {
     assert(reserved_ == Tokens {} && "H10: not while a request may still be billed to it");
     state_ = LoanState::Ending;
@@ -68,7 +68,7 @@
     attempts_ = 0;
 }
 
-bool LoanBorrowed::repeatDue(Instant now)
+bool BorrowedLoan::repeatDue(Instant now)
 {
     if (state_ == LoanState::Held || (attempts_ > 0 && now < repeatAt_))
         return false;
@@ -77,7 +77,7 @@
     return true;
 }
 
-void LoanBorrowed::print(std::ostream& out) const
+void BorrowedLoan::print(std::ostream& out) const
 {
     out << "borrowed " << number_ << " from " << lender_ << ' ' << budget_.account << '/' << budget_.budget << " state "
         << static_cast<int>(state_) << " grant " << grant_.number << " asked " << asked_ << " amount " << amount_
--- a/src/ledger/LoanBorrowed.h
+++ b/src/ledger/BorrowedLoan.h
@@ -18,9 +18,9 @@
 };
 
 /** @brief One loan, as its borrower sees it (H10 of docs/HOLDINGS.md). */
-class LoanBorrowed {
+class BorrowedLoan {
 public:
-    LoanBorrowed(std::uint64_t number, Incarnation lender, BudgetRef budget, Tokens asked, Instant now)
+    BorrowedLoan(std::uint64_t number, Incarnation lender, BudgetRef budget, Tokens asked, Instant now)
         : number_(number)
         , lender_(lender)
         , budget_(std::move(budget))
--- a/src/ledger/Holder.cpp
+++ b/src/ledger/Holder.cpp
@@ -2,17 +2,17 @@
 
 #include <utility>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger {
 
 Holder::Holder(Incarnation self, std::unique_ptr<HoldingPolicy> policy, const Fold& fold)
-    : book_(std::make_unique<internal::HolderBook>(self, std::move(policy), fold))
+    : book_(std::make_unique<internal::HolderImpl>(self, std::move(policy), fold))
 {
 }
 
 Holder::Holder(const Holder& other, const Fold& fold)
-    : book_(std::make_unique<internal::HolderBook>(*other.book_, fold))
+    : book_(std::make_unique<internal::HolderImpl>(*other.book_, fold))
 {
 }
 
--- a/src/ledger/HolderDesk.cpp
+++ b/src/ledger/HolderBudgetState.cpp
@@ -1,4 +1,4 @@
-#include "ledger/HolderDesk.h"
+#include "ledger/HolderBudgetState.h"
 
 #include <algorithm>
 
@@ -12,20 +12,20 @@
 
 } // namespace
 
-void HolderDesk::saw(Incarnation holder, Instant now)
+void HolderBudgetState::saw(Incarnation holder, Instant now)
 {
     sharers[holder] = now;
     std::erase_if(sharers, [&](const auto& sharer) { return now - sharer.second >= sharerMemory; });
 }
 
-std::uint32_t HolderDesk::sharerCount(Instant now) const
+std::uint32_t HolderBudgetState::sharerCount(Instant now) const
 {
     const auto active
         = std::ranges::count_if(sharers, [&](const auto& sharer) { return now - sharer.second < sharerMemory; });
     return static_cast<std::uint32_t>(active) + 1;
 }
 
-void HolderDesk::print(std::ostream& out) const
+void HolderBudgetState::print(std::ostream& out) const
 {
     const auto at = [](Instant instant) { return instant.time_since_epoch().count(); };
     demand.print(out);
--- a/src/ledger/HolderDesk.h
+++ b/src/ledger/HolderBudgetState.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "ledger/HolderDemand.h"
-#include "ledger/LoanRounds.h"
+#include "ledger/LenderRotation.h"
 #include "ledger/ShortageSignals.h"
 #include "swiftlift/base/Ids.h"
 #include "swiftlift/base/Units.h"
@@ -16,7 +16,7 @@
 namespace swiftlift::ledger::internal {
 
 /** @brief What a holder knows of one budget beside its grants and loans: demand, sharers, and when it last acted. */
-struct HolderDesk {
+struct HolderBudgetState {
     /** Numbers of its grants that are not closed, oldest first. */
     std::vector<std::uint32_t> grants;
     /** Numbers of its loans that are not acknowledged as done, oldest first. */
@@ -43,7 +43,7 @@
     Tokens othersShort;
     Instant othersShortUntil {};
     ShortageSignals signals;
-    LoanRounds rounds;
+    LenderRotation rounds;
 
     /** @return Whether there is nothing to look after. */
     [[nodiscard]] bool quiet() const { return !preallocated && grants.empty() && loans.empty() && wants.empty(); }
--- a/src/ledger/HolderWork.cpp
+++ b/src/ledger/HolderBudgetUpdate.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void HolderBook::onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions)
+void HolderImpl::onTick(Instant now, const HolderEnvironment& environment, LedgerActions& actions)
 {
     now_ = now;
     if (environment.witness != environment_.witness)
@@ -38,7 +38,7 @@
     flushRaises(actions);
 }
 
-void HolderBook::work(const BudgetRef& budget, HolderDesk& desk, LedgerActions& actions)
+void HolderImpl::work(const BudgetRef& budget, HolderBudgetState& desk, LedgerActions& actions)
 {
     replaceAlone(desk, actions);
     moveLoans(desk, situationOf(budget, desk), actions);
@@ -50,7 +50,7 @@
     raiseCeilings(desk, situation, actions);
 }
 
-BudgetSituation HolderBook::situationOf(const BudgetRef& budget, const HolderDesk& desk) const
+BudgetSituation HolderImpl::situationOf(const BudgetRef& budget, const HolderBudgetState& desk) const
 {
     BudgetSituation situation;
     situation.weighting = desk.weighting;
@@ -82,7 +82,7 @@
     return situation;
 }
 
-void HolderBook::countFree(const HolderDesk& desk, BudgetSituation& situation) const
+void HolderImpl::countFree(const HolderBudgetState& desk, BudgetSituation& situation) const
 {
     const auto count = [&](Tokens free) {
         situation.free += free;
@@ -98,8 +98,8 @@
         count(loans_.at(number).free());
 }
 
-void HolderBook::draw(
-    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::draw(
+    const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (desk.drawing || retired_ || !environment_.logReachable || !fold_->budget(budget))
         return;
@@ -126,7 +126,7 @@
 
 // A request is covered by one grant only. Several remainders that are too small each, but not together, go back first:
 // the returns land before the draw, which then gets them as one grant.
-bool HolderBook::gather(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+bool HolderImpl::gather(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const Tokens remainder = grantsRemainder(desk);
     if (situation.largestFree >= situation.need || situation.available + remainder < situation.need)
@@ -135,7 +135,7 @@
     return true;
 }
 
-void HolderBook::giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::giveBackSurplus(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (!desk.wants.empty() || (!environment_.logReachable && !leaving()))
         return;
@@ -151,7 +151,7 @@
 }
 
 /** Smallest remainders first, so that whole grants can be closed. */
-void HolderBook::giveBack(const HolderDesk& desk, Tokens amount, LedgerActions& actions)
+void HolderImpl::giveBack(const HolderBudgetState& desk, Tokens amount, LedgerActions& actions)
 {
     std::vector<HolderGrant*> open;
     for (const std::uint32_t number : desk.grants) {
@@ -175,7 +175,7 @@
 
 // Each grant ends with a remainder that no request fits. Kept, they would add up: one more grant to look through and a
 // few more tokens out of reach with every draw.
-void HolderBook::closeIdle(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::closeIdle(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const bool mayTidy = desk.wants.empty() && situation.logReachable;
     const Tokens fragment = mayTidy ? policy_->fragment(situation) : none;
@@ -190,13 +190,13 @@
 }
 
 // H5: only when nothing of it is reserved, lent or still to be billed; every bill was emitted before.
-void HolderBook::close(HolderGrant& grant, LedgerActions& actions)
+void HolderImpl::close(HolderGrant& grant, LedgerActions& actions)
 {
     grant.close();
     actions.emplace_back(AppendEntry { CloseGrant { grant.id() } });
 }
 
-Tokens HolderBook::grantsRemainder(const HolderDesk& desk) const
+Tokens HolderImpl::grantsRemainder(const HolderBudgetState& desk) const
 {
     Tokens sum;
     for (const std::uint32_t number : desk.grants)
--- a/src/ledger/HolderCeilings.cpp
+++ b/src/ledger/HolderCeilings.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void HolderBook::raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::raiseCeilings(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (leaving() && desk.wants.empty())
         return;
@@ -44,7 +44,7 @@
 
 // Asks ahead of need, from half of the head-room on. What was asked is asked again until it is acknowledged: messages
 // get lost, and a witness that has not read the grant yet stays silent.
-void HolderBook::raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting)
+void HolderImpl::raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting)
 {
     if (!grant.isOpen() || grant.witness() == nobody || grant.changingWitness())
         return;
@@ -69,7 +69,7 @@
 }
 
 // H6: the change states the ceiling that holds until it is read back.
-void HolderBook::moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions)
+void HolderImpl::moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions)
 {
     noteSilence(grant);
     const Incarnation better = witnessToName();
@@ -89,7 +89,7 @@
 // stays silent. Each draw names it again, nothing of it may be spent, and the next draw takes half of what is left. One
 // notices by grants in quick succession of which nothing is billed, and by refusals beside them. A grant without a
 // witness is spendable as soon as it is read; it is lost with its holder, which is the smaller loss.
-void HolderBook::noteSilence(const HolderGrant& grant)
+void HolderImpl::noteSilence(const HolderGrant& grant)
 {
     if (grant.witness() == nobody || !grant.isOpen() || !witnessSilent(grant, answerPatience))
         return;
@@ -97,17 +97,17 @@
     silentUntil_ = now_ + silencePause;
 }
 
-Incarnation HolderBook::witnessToName() const
+Incarnation HolderImpl::witnessToName() const
 {
     const Incarnation witness = environment_.witness.value_or(nobody);
     return witness == silentWitness_ && now_ < silentUntil_ ? nobody : witness;
 }
 
-bool HolderBook::inOutage() const { return logLostAt_ && now_ - *logLostAt_ >= outagePatience; }
+bool HolderImpl::inOutage() const { return logLostAt_ && now_ - *logLostAt_ >= outagePatience; }
 
 // What goes wrong: a request is accepted on a grant whose witness can't be asked, and its bill finds the grant closed:
 // the caller has had its tokens and is told "unknown". One notices by answers that end with bill_refused.
-bool HolderBook::insecure(const HolderGrant& grant) const
+bool HolderImpl::insecure(const HolderGrant& grant) const
 {
     const bool witnessed = grant.witness() != nobody && policy_->witnessesClose();
     const bool witnessHere = environment_.witness == grant.witness() && !witnessSilent(grant, answerPatience);
@@ -116,7 +116,7 @@
 
 // A grant whose witness has promised not to close it would be lost with this process. Once the log is back it is
 // exchanged for one that the witness may close.
-void HolderBook::replaceAlone(const HolderDesk& desk, LedgerActions& actions)
+void HolderImpl::replaceAlone(const HolderBudgetState& desk, LedgerActions& actions)
 {
     if (!environment_.logReachable || !policy_->renewsAlone())
         return;
@@ -134,12 +134,12 @@
     }
 }
 
-bool HolderBook::witnessSilent(const HolderGrant& grant, Duration patience) const
+bool HolderImpl::witnessSilent(const HolderGrant& grant, Duration patience) const
 {
     return grant.raise.attempts > 0 && now_ - grant.raise.firstAskedAt > patience;
 }
 
-bool HolderBook::raisePending(const HolderDesk& desk, Tokens amount) const
+bool HolderImpl::raisePending(const HolderBudgetState& desk, Tokens amount) const
 {
     return std::ranges::any_of(desk.grants, [&](std::uint32_t number) {
         const HolderGrant& grant = grants_.at(number);
@@ -151,14 +151,14 @@
     });
 }
 
-void HolderBook::flushRaises(LedgerActions& actions)
+void HolderImpl::flushRaises(LedgerActions& actions)
 {
     for (auto& [witness, ceilings] : raises_)
         actions.emplace_back(SendRaise { witness, std::move(ceilings) });
     raises_.clear();
 }
 
-void HolderBook::onCeilingsAcked(
+void HolderImpl::onCeilingsAcked(
     Incarnation from, const std::vector<Ceiling>& ceilings, Instant now, LedgerActions& actions)
 {
     now_ = now;
@@ -177,7 +177,7 @@
     flushRaises(actions);
 }
 
-void HolderBook::onCeilingsRefused(
+void HolderImpl::onCeilingsRefused(
     Incarnation from, const std::vector<GrantId>& grants, Instant now, LedgerActions& actions)
 {
     now_ = now;
--- a/src/ledger/HolderEffects.cpp
+++ b/src/ledger/HolderEffects.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void HolderBook::onEffect(const Effect& effect, Instant now, LedgerActions& actions)
+void HolderImpl::onEffect(const Effect& effect, Instant now, LedgerActions& actions)
 {
     now_ = now;
     std::visit([&](const auto& happened) { on(happened, actions); }, effect);
@@ -26,9 +26,9 @@
 }
 
 // Comes first of an item's effects, so it tells who wrote the bill or draw that follows.
-void HolderBook::on(const Landed& effect, LedgerActions&) { author_ = effect.origin; }
+void HolderImpl::on(const Landed& effect, LedgerActions&) { author_ = effect.origin; }
 
-void HolderBook::on(const DrawDecided& effect, LedgerActions& actions)
+void HolderImpl::on(const DrawDecided& effect, LedgerActions& actions)
 {
     if (effect.grant.holder != self_)
         otherDrawDecided(effect, actions);
@@ -38,12 +38,12 @@
 
 // H1: only here does a grant become usable. Spending it as soon as it was asked for would spend money that the fold may
 // have given to somebody else.
-void HolderBook::ownDrawDecided(const DrawDecided& effect, LedgerActions& actions)
+void HolderImpl::ownDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
     const auto grant = grants_.find(effect.grant.number);
     if (grant == grants_.end() || grant->second.state() != HolderGrantState::Drawing)
         return;
-    HolderDesk& desk = deskOf(effect.budget);
+    HolderBudgetState& desk = deskOf(effect.budget);
     drawTook_ += (now_ - desk.drawingSince - drawTook_) / drawSmoothing;
     desk.drawing.reset();
     if (effect.admitted == Tokens {}) {
@@ -58,12 +58,12 @@
     work(effect.budget, desk, actions);
 }
 
-void HolderBook::otherDrawDecided(const DrawDecided& effect, LedgerActions& actions)
+void HolderImpl::otherDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
     const auto found = desks_.find(effect.budget);
     if (found == desks_.end())
         return;
-    HolderDesk& desk = found->second;
+    HolderBudgetState& desk = found->second;
     desk.saw(effect.grant.holder, now_);
     if (effect.shortfall == Tokens {})
         return;
@@ -72,7 +72,7 @@
     work(found->first, desk, actions);
 }
 
-void HolderBook::on(const GrantChanged& effect, LedgerActions& actions)
+void HolderImpl::on(const GrantChanged& effect, LedgerActions& actions)
 {
     if (effect.grant.holder != self_)
         return;
@@ -80,7 +80,7 @@
     if (found == grants_.end())
         return;
     HolderGrant& grant = found->second;
-    HolderDesk& desk = deskOf(grant.budget());
+    HolderBudgetState& desk = deskOf(grant.budget());
     switch (effect.state) {
     case GrantState::Closed:
         forgetGrant(effect.grant.number);
@@ -96,7 +96,7 @@
     work(grant.budget(), desk, actions);
 }
 
-void HolderBook::on(const BillDecided& effect, LedgerActions& actions)
+void HolderImpl::on(const BillDecided& effect, LedgerActions& actions)
 {
     noteBilled(effect);
     if (effect.grant.holder != self_) {
@@ -119,7 +119,7 @@
 }
 
 // A router that starts reads the bills of minutes within a moment: noted, they would pass for a flood.
-void HolderBook::noteBilled(const BillDecided& effect)
+void HolderImpl::noteBilled(const BillDecided& effect)
 {
     if (!effect.counted || !environment_.caughtUp)
         return;
@@ -129,7 +129,7 @@
         desk->second.billed.note(effect.tokens, now_);
 }
 
-void HolderBook::borrowedBillDecided(const BillDecided& effect, LedgerActions& actions)
+void HolderImpl::borrowedBillDecided(const BillDecided& effect, LedgerActions& actions)
 {
     for (auto& [number, loan] : loans_) {
         if (loan.grant() != effect.grant || !loan.billRead(effect.key, effect.tokens, effect.counted))
@@ -140,14 +140,14 @@
     }
 }
 
-void HolderBook::on(const BudgetChanged& effect, LedgerActions& actions)
+void HolderImpl::on(const BudgetChanged& effect, LedgerActions& actions)
 {
     const auto found = desks_.find(effect.budget);
     if (found != desks_.end() && !found->second.wants.empty())
         work(found->first, found->second, actions);
 }
 
-void HolderBook::forgetGrant(std::uint32_t number)
+void HolderImpl::forgetGrant(std::uint32_t number)
 {
     std::erase(deskOf(grants_.at(number).budget()).grants, number);
     grants_.erase(number);
@@ -155,7 +155,7 @@
 
 // H12: a retired incarnation is refused every draw. It finishes what it has begun and closes its grants; the process
 // goes on under a new incarnation.
-void HolderBook::retire(std::string reason, LedgerActions& actions)
+void HolderImpl::retire(std::string reason, LedgerActions& actions)
 {
     if (std::exchange(retired_, true))
         return;
--- a/src/ledger/HolderBook.cpp
+++ b/src/ledger/HolderImpl.cpp
@@ -1,4 +1,4 @@
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 #include <algorithm>
 #include <sstream>
@@ -13,20 +13,20 @@
 
 } // namespace
 
-HolderBook::HolderBook(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold)
+HolderImpl::HolderImpl(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold)
     : self_(self)
     , policy_(std::move(policy))
     , fold_(&fold)
 {
 }
 
-HolderBook::HolderBook(const HolderBook& other, const Fold& fold)
-    : HolderBook(other)
+HolderImpl::HolderImpl(const HolderImpl& other, const Fold& fold)
+    : HolderImpl(other)
 {
     fold_ = &fold;
 }
 
-bool HolderBook::drained() const
+bool HolderImpl::drained() const
 {
     const auto over = [](const auto& loan) {
         return loan.second.state() == LoanState::Ending && loan.second.attempts() >= attemptsBeforeLeaving;
@@ -34,7 +34,7 @@
     return grants_.empty() && std::ranges::all_of(loans_, over);
 }
 
-std::vector<HoldingView> HolderBook::holdings() const
+std::vector<HoldingView> HolderImpl::holdings() const
 {
     std::vector<HoldingView> views;
     for (const auto& [number, grant] : grants_) {
@@ -48,7 +48,7 @@
     return views;
 }
 
-std::string HolderBook::stateText() const
+std::string HolderImpl::stateText() const
 {
     std::ostringstream out;
     out << "holder " << self_ << " at " << now_.time_since_epoch().count() << " retired " << retired_ << " reading "
--- a/src/ledger/HolderBook.h
+++ b/src/ledger/HolderImpl.h
@@ -9,10 +9,10 @@
 #include <variant>
 #include <vector>
 
-#include "ledger/HolderDesk.h"
+#include "ledger/BorrowedLoan.h"
+#include "ledger/HolderBudgetState.h"
 #include "ledger/HolderGrant.h"
-#include "ledger/LoanBorrowed.h"
-#include "ledger/LoanLedger.h"
+#include "ledger/LoanAnswerHistory.h"
 #include "swiftlift/ledger/Holder.h"
 
 namespace swiftlift::ledger::internal {
@@ -21,12 +21,12 @@
  * @brief The state of a Holder and all it does.
  *
  * Requests, effects, ceilings, loans and the work of a tick stand in one source file each (HolderRequests.cpp,
- * HolderEffects.cpp, HolderCeilings.cpp, LoanBorrowing.cpp, LoanLending.cpp, HolderWork.cpp).
+ * HolderEffects.cpp, HolderCeilings.cpp, LoanBorrowing.cpp, LoanLending.cpp, HolderBudgetUpdate.cpp).
  */
-class HolderBook {
+class HolderImpl {
 public:
-    HolderBook(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold);
-    HolderBook(const HolderBook& other, const Fold& fold);
+    HolderImpl(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold);
+    HolderImpl(const HolderImpl& other, const Fold& fold);
 
     // Requests.
     [[nodiscard]] std::variant<Reservation, Shortage> reserve(
@@ -66,17 +66,17 @@
 
 private:
     using Grants = std::map<std::uint32_t, HolderGrant>;
-    using Loans = std::map<std::uint64_t, LoanBorrowed>;
-    using Desks = std::map<BudgetRef, HolderDesk>;
+    using Loans = std::map<std::uint64_t, BorrowedLoan>;
+    using Desks = std::map<BudgetRef, HolderBudgetState>;
 
     // Requests.
-    [[nodiscard]] HolderDesk& deskOf(const BudgetRef& budget);
+    [[nodiscard]] HolderBudgetState& deskOf(const BudgetRef& budget);
     [[nodiscard]] std::optional<Reservation> take(
-        const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount);
+        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount);
     [[nodiscard]] Shortage shortage(
-        const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount) const;
+        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const;
     [[nodiscard]] bool mayStillCome(
-        const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount) const;
+        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const;
     /** @return How long after its emission a draw is waited for. */
     [[nodiscard]] Duration drawPatience() const;
     [[nodiscard]] bool isExhausted(const BudgetRef& budget, Tokens amount) const;
@@ -99,14 +99,14 @@
     void retire(std::string reason, LedgerActions& actions);
 
     // Ceilings.
-    void raiseCeilings(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void raiseCeilings(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
     /** @return Whether the log has been out of reach for long enough to go on without it. */
     [[nodiscard]] bool inOutage() const;
     /** @return Whether a bill on the grant could not be secured now: its witness can't be asked, and may close it. */
     [[nodiscard]] bool insecure(const HolderGrant& grant) const;
     /** @return Whether a bill on the loan would count, as far as can be told now. */
-    [[nodiscard]] bool secure(const LoanBorrowed& loan) const;
-    void replaceAlone(const HolderDesk& desk, LedgerActions& actions);
+    [[nodiscard]] bool secure(const BorrowedLoan& loan) const;
+    void replaceAlone(const HolderBudgetState& desk, LedgerActions& actions);
     void raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting);
     /** @return Whom to name as witness now; nobody when there is none, or it doesn't answer. */
     [[nodiscard]] Incarnation witnessToName() const;
@@ -114,36 +114,39 @@
     void noteSilence(const HolderGrant& grant);
     void moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions);
     [[nodiscard]] bool witnessSilent(const HolderGrant& grant, Duration patience) const;
-    [[nodiscard]] bool raisePending(const HolderDesk& desk, Tokens amount) const;
+    [[nodiscard]] bool raisePending(const HolderBudgetState& desk, Tokens amount) const;
     void flushRaises(LedgerActions& actions);
 
     // Lending.
     [[nodiscard]] std::optional<LoanAnswer> decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount);
-    [[nodiscard]] HolderGrant* grantToLend(const HolderDesk& desk);
+    [[nodiscard]] HolderGrant* grantToLend(const HolderBudgetState& desk);
 
     // Borrowing.
-    void borrow(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void moveLoans(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void moveLoan(LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void endLoan(LoanBorrowed& loan, LedgerActions& actions);
+    void borrow(
+        const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void moveLoans(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void moveLoan(
+        BorrowedLoan& loan, const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void endLoan(BorrowedLoan& loan, LedgerActions& actions);
     void forgetLoan(std::uint64_t number);
-    [[nodiscard]] bool loanAsked(const HolderDesk& desk) const;
+    [[nodiscard]] bool loanAsked(const HolderBudgetState& desk) const;
     /** @return Whether an ask is so fresh that its answer is waited for before another lender is asked. */
-    [[nodiscard]] bool askedJustNow(const HolderDesk& desk) const;
+    [[nodiscard]] bool askedJustNow(const HolderBudgetState& desk) const;
 
     // Work that a tick or any change of one budget brings up.
-    [[nodiscard]] BudgetSituation situationOf(const BudgetRef& budget, const HolderDesk& desk) const;
-    void countFree(const HolderDesk& desk, BudgetSituation& situation) const;
-    void work(const BudgetRef& budget, HolderDesk& desk, LedgerActions& actions);
-    void draw(const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    [[nodiscard]] BudgetSituation situationOf(const BudgetRef& budget, const HolderBudgetState& desk) const;
+    void countFree(const HolderBudgetState& desk, BudgetSituation& situation) const;
+    void work(const BudgetRef& budget, HolderBudgetState& desk, LedgerActions& actions);
+    void draw(
+        const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
     /** @return Whether the remainders went back, and will cover what waits. */
-    [[nodiscard]] bool gather(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void giveBackSurplus(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void giveBack(const HolderDesk& desk, Tokens amount, LedgerActions& actions);
-    void closeIdle(const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions);
+    [[nodiscard]] bool gather(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void giveBackSurplus(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void giveBack(const HolderBudgetState& desk, Tokens amount, LedgerActions& actions);
+    void closeIdle(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
     void close(HolderGrant& grant, LedgerActions& actions);
     [[nodiscard]] bool leaving() const { return retired_ || environment_.stopping; }
-    [[nodiscard]] Tokens grantsRemainder(const HolderDesk& desk) const;
+    [[nodiscard]] Tokens grantsRemainder(const HolderBudgetState& desk) const;
 
     Incarnation self_;
     std::shared_ptr<const HoldingPolicy> policy_;
@@ -168,7 +171,7 @@
     std::uint64_t lastLoan_ = 0;
     Grants grants_;
     Loans loans_;
-    LoanLedger lending_;
+    LoanAnswerHistory lending_;
     Desks desks_;
     /** Raises to be sent at the end of the present call, by witness. */
     std::map<Incarnation, std::vector<Ceiling>> raises_;
--- a/src/ledger/HolderRequests.cpp
+++ b/src/ledger/HolderRequests.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cassert>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -24,7 +24,7 @@
 
 } // namespace
 
-HolderDesk& HolderBook::deskOf(const BudgetRef& budget)
+HolderBudgetState& HolderImpl::deskOf(const BudgetRef& budget)
 {
     const auto [found, isNew] = desks_.try_emplace(budget);
     if (isNew) {
@@ -36,13 +36,13 @@
     return found->second;
 }
 
-std::variant<Reservation, Shortage> HolderBook::reserve(
+std::variant<Reservation, Shortage> HolderImpl::reserve(
     const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions)
 {
     assert(amount > Tokens {} && "a request costs something");
     now_ = now;
     busySince_ = busySince_.value_or(now);
-    HolderDesk& desk = deskOf(budget);
+    HolderBudgetState& desk = deskOf(budget);
     const bool isNew = desk.wants.add(key, amount, now);
     if (isNew)
         desk.demand.note(amount, now);
@@ -62,7 +62,7 @@
 // What goes wrong otherwise: a caller's tries, each refused, count as demand each time, and what they asked for goes on
 // waiting here. The router then draws for many times what its callers use. One notices by one holder's grants of half
 // of what is left, one after the other, of which little is ever billed: all of it is lost with the holder.
-void HolderBook::withdraw(const BudgetRef& budget, RequestKey key, Instant now)
+void HolderImpl::withdraw(const BudgetRef& budget, RequestKey key, Instant now)
 {
     const auto desk = desks_.find(budget);
     if (desk == desks_.end())
@@ -71,14 +71,14 @@
         desk->second.demand.withdraw(want->amount, want->since, now);
 }
 
-Tokens HolderBook::spendable(const BudgetRef& budget) const
+Tokens HolderImpl::spendable(const BudgetRef& budget) const
 {
     Tokens most;
     const auto found = desks_.find(budget);
     if (retired_ || found == desks_.end())
         return most;
     for (const std::uint64_t number : found->second.loans) {
-        if (const LoanBorrowed& loan = loans_.at(number); secure(loan))
+        if (const BorrowedLoan& loan = loans_.at(number); secure(loan))
             most = std::max(most, loan.free());
     }
     for (const std::uint32_t number : found->second.grants) {
@@ -88,19 +88,19 @@
     return most;
 }
 
-bool HolderBook::secure(const LoanBorrowed& loan) const
+bool HolderImpl::secure(const BorrowedLoan& loan) const
 {
     return loan.holderOnly() || environment_.logReachable || !policy_->witnessesClose();
 }
 
 // Loans first, so that they are soon done; then own grants, oldest first, so that few stay open.
-std::optional<Reservation> HolderBook::take(
-    const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount)
+std::optional<Reservation> HolderImpl::take(
+    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount)
 {
     if (retired_)
         return {};
     for (const std::uint64_t number : desk.loans) {
-        LoanBorrowed& loan = loans_.at(number);
+        BorrowedLoan& loan = loans_.at(number);
         if (loan.free() < amount || !secure(loan))
             continue;
         loan.reserve(amount, now_);
@@ -116,7 +116,8 @@
     return {};
 }
 
-Shortage HolderBook::shortage(const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount) const
+Shortage HolderImpl::shortage(
+    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const
 {
     Shortage shortage;
     shortage.pending = mayStillCome(budget, desk, key, amount);
@@ -131,7 +132,8 @@
     return shortage;
 }
 
-bool HolderBook::mayStillCome(const BudgetRef& budget, const HolderDesk& desk, RequestKey key, Tokens amount) const
+bool HolderImpl::mayStillCome(
+    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const
 {
     // What the ledger has not, no draw, raise or loan can bring: it is refused at once.
     if (retired_ || (environment_.logReachable && isExhausted(budget, amount)))
@@ -152,22 +154,22 @@
 // What goes wrong otherwise: while the log is slow, or behind with bills, each request waits for a draw as long as its
 // caller may be held, and is refused then, its time used up. One notices by refusals that all come after the same time.
 // Whoever comes while a draw is overdue is told at once, with when to come back.
-Duration HolderBook::drawPatience() const
+Duration HolderImpl::drawPatience() const
 {
     return std::clamp(drawTook_ * overdueFactor, leastDrawPatience, mostDrawPatience);
 }
 
-bool HolderBook::isExhausted(const BudgetRef& budget, Tokens amount) const
+bool HolderImpl::isExhausted(const BudgetRef& budget, Tokens amount) const
 {
     const std::optional<BudgetView> view = fold_->budget(budget);
     return !view || view->bought - view->billed < amount;
 }
 
-void HolderBook::preallocate(const BudgetRef& budget) { deskOf(budget).preallocated = true; }
+void HolderImpl::preallocate(const BudgetRef& budget) { deskOf(budget).preallocated = true; }
 
-void HolderBook::setWeighting(const BudgetRef& budget, Weighting weighting) { deskOf(budget).weighting = weighting; }
+void HolderImpl::setWeighting(const BudgetRef& budget, Weighting weighting) { deskOf(budget).weighting = weighting; }
 
-bool HolderBook::isHolderOnly(const Reservation& reservation) const
+bool HolderImpl::isHolderOnly(const Reservation& reservation) const
 {
     if (reservation.loan != 0) {
         const auto found = loans_.find(reservation.loan);
@@ -177,12 +179,12 @@
     return found != grants_.end() && (found->second.holderOnly() || found->second.witness() == Incarnation {});
 }
 
-bool HolderBook::borrowsFrom(const GrantId& grant) const
+bool HolderImpl::borrowsFrom(const GrantId& grant) const
 {
     return std::ranges::any_of(loans_, [&](const auto& entry) { return entry.second.grant() == grant; });
 }
 
-void HolderBook::settle(const Reservation& reservation, Tokens actual, LedgerActions& actions)
+void HolderImpl::settle(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     assert(actual <= reservation.amount && "no request costs more than its reservation");
     if (reservation.loan != 0)
@@ -198,7 +200,7 @@
 
 // H7: the bill is emitted in the same call that stops counting the reservation, so it lands before any later return or
 // close of the grant.
-void HolderBook::settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions)
+void HolderImpl::settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     const auto found = grants_.find(reservation.grant.number);
     assert(reservation.grant.holder == self_ && "a reservation names the lender's grant or an own one");
@@ -211,7 +213,7 @@
     found->second.settle(reservation.amount, actual);
 }
 
-void HolderBook::settleLoan(const Reservation& reservation, Tokens actual, LedgerActions& actions)
+void HolderImpl::settleLoan(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     const auto found = loans_.find(reservation.loan);
     assert(found != loans_.end() && "a loan with a reservation is not done");
--- a/src/ledger/LoanRounds.cpp
+++ b/src/ledger/LenderRotation.cpp
@@ -1,4 +1,4 @@
-#include "ledger/LoanRounds.h"
+#include "ledger/LenderRotation.h"
 
 #include <cassert>
 
@@ -15,7 +15,7 @@
 
 // What goes wrong when the nearest is always asked first: a VM that gets most of an account's requests empties its
 // neighbours by halves and is refused, while those farther away hold what nobody asks them for.
-std::size_t LoanRounds::ask(std::size_t lenders, Instant now)
+std::size_t LenderRotation::ask(std::size_t lenders, Instant now)
 {
     assert(lenders > 0 && "somebody is there to be asked");
     const std::size_t lender = position_++ % lenders;
@@ -29,19 +29,19 @@
     return lender;
 }
 
-void LoanRounds::lent() noexcept
+void LenderRotation::lent() noexcept
 {
     asksInVain_ = 0;
     relieved();
 }
 
-void LoanRounds::relieved() noexcept
+void LenderRotation::relieved() noexcept
 {
     over_ = false;
     formerInVain_ = false;
 }
 
-void LoanRounds::print(std::ostream& out) const
+void LenderRotation::print(std::ostream& out) const
 {
     out << (over_ ? " round over" : "") << (formerInVain_ ? " lent in vain" : "") << " loans " << position_ << ' '
         << asksInVain_ << '@' << next_.time_since_epoch().count();
--- a/src/ledger/LoanRounds.h
+++ b/src/ledger/LenderRotation.h
@@ -9,7 +9,7 @@
 namespace swiftlift::ledger::internal {
 
 /** @brief Whom a borrower asks next: all lenders in turn, with a pause after a round that brought nothing. */
-class LoanRounds {
+class LenderRotation {
 public:
     /** @return Whether the next lender may be asked now. */
     [[nodiscard]] bool due(Instant now) const noexcept { return now >= next_; }
--- a/src/ledger/LoanLedger.cpp
+++ b/src/ledger/LoanAnswerHistory.cpp
@@ -1,4 +1,4 @@
-#include "ledger/LoanLedger.h"
+#include "ledger/LoanAnswerHistory.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 } // namespace
 
-std::optional<LoanAnswer> LoanLedger::find(Incarnation borrower, std::uint64_t loan) const
+std::optional<LoanAnswer> LoanAnswerHistory::find(Incarnation borrower, std::uint64_t loan) const
 {
     const auto known = borrowers_.find(borrower);
     if (known == borrowers_.end())
@@ -26,7 +26,7 @@
     return {};
 }
 
-void LoanLedger::record(Incarnation borrower, std::uint64_t loan, LoanAnswer answer)
+void LoanAnswerHistory::record(Incarnation borrower, std::uint64_t loan, LoanAnswer answer)
 {
     Borrower& known = borrowers_[borrower];
     known.answers.insert_or_assign(loan, answer);
@@ -36,7 +36,7 @@
 }
 
 // Each restart of a router is a new borrower. Without a bound a lender would remember them all.
-void LoanLedger::forgetBorrower(Incarnation except)
+void LoanAnswerHistory::forgetBorrower(Incarnation except)
 {
     const auto finished = std::ranges::find_if(borrowers_, [&](const auto& known) {
         return known.first != except
@@ -48,7 +48,7 @@
 
 // Without a bound, a borrower that asks for years would fill the lender's memory. An ask that comes later than the next
 // 256 ones of its borrower is denied, which costs that borrower one more ask.
-void LoanLedger::forget(Borrower& borrower)
+void LoanAnswerHistory::forget(Borrower& borrower)
 {
     while (borrower.answers.size() > keptAnswers) {
         const auto oldest
@@ -60,7 +60,7 @@
     }
 }
 
-void LoanLedger::print(std::ostream& out) const
+void LoanAnswerHistory::print(std::ostream& out) const
 {
     for (const auto& [borrower, known] : borrowers_) {
         out << "asked by " << borrower << " forgotten " << known.forgottenBelow;
--- a/src/ledger/LoanLedger.h
+++ b/src/ledger/LoanAnswerHistory.h
@@ -29,7 +29,7 @@
  * Finished loans are forgotten in the order of their numbers; a number below the forgotten ones counts as finished. Of
  * many borrowers, one without open loans is forgotten: a late ask of it is answered anew, and it says LoanDone.
  */
-class LoanLedger {
+class LoanAnswerHistory {
 public:
     /** @return The answer given before; nothing when this is the first ask. */
     [[nodiscard]] std::optional<LoanAnswer> find(Incarnation borrower, std::uint64_t loan) const;
--- a/src/ledger/LoanBorrowing.cpp
+++ b/src/ledger/LoanBorrowing.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -23,8 +23,8 @@
 
 } // namespace
 
-void HolderBook::borrow(
-    const BudgetRef& budget, HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::borrow(
+    const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     if (desk.wants.empty())
         return;
@@ -38,19 +38,19 @@
     const std::uint64_t number = ++lastLoan_;
     desk.loans.push_back(number);
     const Incarnation lender = environment_.lenders.at(desk.rounds.ask(environment_.lenders.size(), now_));
-    LoanBorrowed& loan = loans_.try_emplace(number, number, lender, budget, size, now_).first->second;
+    BorrowedLoan& loan = loans_.try_emplace(number, number, lender, budget, size, now_).first->second;
     if (loan.repeatDue(now_))
         actions.emplace_back(SendLoanAsk { loan.lender(), number, budget, size });
 }
 
-void HolderBook::moveLoans(HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::moveLoans(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     for (const std::uint64_t number : desk.loans)
         moveLoan(loans_.at(number), desk, situation, actions);
 }
 
-void HolderBook::moveLoan(
-    LoanBorrowed& loan, const HolderDesk& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::moveLoan(
+    BorrowedLoan& loan, const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
 {
     const Duration age = now_ - loan.since();
     switch (loan.state()) {
@@ -77,39 +77,39 @@
 
 // H10: from here on nothing of it is spent. An ask that was given up ends in the same way, since its answer may have
 // been lost: otherwise the lender would count it as lent for good.
-void HolderBook::endLoan(LoanBorrowed& loan, LedgerActions& actions)
+void HolderImpl::endLoan(BorrowedLoan& loan, LedgerActions& actions)
 {
     loan.end(now_);
     if (loan.repeatDue(now_))
         actions.emplace_back(SendLoanDone { loan.lender(), loan.number(), loan.emitted() });
 }
 
-void HolderBook::forgetLoan(std::uint64_t number)
+void HolderImpl::forgetLoan(std::uint64_t number)
 {
     std::erase(deskOf(loans_.at(number).budget()).loans, number);
     loans_.erase(number);
 }
 
-bool HolderBook::loanAsked(const HolderDesk& desk) const
+bool HolderImpl::loanAsked(const HolderBudgetState& desk) const
 {
     // Lenders are asked again every second. Where the last round brought nothing, callers don't wait for this one.
     if (desk.rounds.formerInVain())
         return false;
     return std::ranges::any_of(desk.loans, [&](std::uint64_t number) {
-        const LoanBorrowed& loan = loans_.at(number);
+        const BorrowedLoan& loan = loans_.at(number);
         return loan.state() == LoanState::Asked && now_ - loan.since() < answerPatience;
     });
 }
 
-bool HolderBook::askedJustNow(const HolderDesk& desk) const
+bool HolderImpl::askedJustNow(const HolderBudgetState& desk) const
 {
     return std::ranges::any_of(desk.loans, [&](std::uint64_t number) {
-        const LoanBorrowed& loan = loans_.at(number);
+        const BorrowedLoan& loan = loans_.at(number);
         return loan.state() == LoanState::Asked && now_ - loan.since() < slowLender;
     });
 }
 
-void HolderBook::onLoanGiven(Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool holderOnly,
+void HolderImpl::onLoanGiven(Incarnation from, std::uint64_t loan, GrantId grant, Tokens amount, bool holderOnly,
     Instant now, LedgerActions& actions)
 {
     now_ = now;
@@ -119,7 +119,7 @@
             actions.emplace_back(SendLoanDone { from, loan, none });
         return;
     }
-    LoanBorrowed& borrowed = found->second;
+    BorrowedLoan& borrowed = found->second;
     if (borrowed.lender() != from || grant.holder != from || borrowed.state() == LoanState::Held)
         return;
     if (borrowed.state() == LoanState::Ending) {
@@ -127,7 +127,7 @@
         return;
     }
     borrowed.given(grant, amount, holderOnly, now);
-    HolderDesk& desk = deskOf(borrowed.budget());
+    HolderBudgetState& desk = deskOf(borrowed.budget());
     if (amount < desk.wants.smallest()) {
         endLoan(borrowed, actions);
     } else {
@@ -138,7 +138,7 @@
     borrow(borrowed.budget(), desk, situationOf(borrowed.budget(), desk), actions);
 }
 
-void HolderBook::onLoanDenied(Incarnation from, std::uint64_t loan, Tokens, Instant now, LedgerActions& actions)
+void HolderImpl::onLoanDenied(Incarnation from, std::uint64_t loan, Tokens, Instant now, LedgerActions& actions)
 {
     now_ = now;
     const auto found = loans_.find(loan);
@@ -150,7 +150,7 @@
     flushRaises(actions);
 }
 
-void HolderBook::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions&)
+void HolderImpl::onLoanDoneAcked(Incarnation from, std::uint64_t loan, Instant now, LedgerActions&)
 {
     now_ = now;
     const auto found = loans_.find(loan);
--- a/src/ledger/LoanLending.cpp
+++ b/src/ledger/LoanLending.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 namespace swiftlift::ledger::internal {
 
@@ -18,7 +18,7 @@
 } // namespace
 
 // H11: the first answer stands. A second loan for a repeated ask would be lent for good, as its borrower knows of one.
-void HolderBook::onLoanAsk(
+void HolderImpl::onLoanAsk(
     Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, LedgerActions& actions)
 {
     now_ = now;
@@ -37,12 +37,12 @@
 }
 
 /** Nothing: not decided yet, since the witness has to acknowledge first; the borrower asks again. */
-std::optional<LoanAnswer> HolderBook::decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount)
+std::optional<LoanAnswer> HolderImpl::decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount)
 {
     const auto found = desks_.find(budget);
     if (leaving() || found == desks_.end() || amount <= none)
         return LoanAnswer {};
-    const HolderDesk& desk = found->second;
+    const HolderBudgetState& desk = found->second;
     const BudgetSituation situation = situationOf(budget, desk);
     const Tokens lendable = std::max(policy_->lendable(situation), none);
     HolderGrant* const grant = grantToLend(desk);
@@ -66,7 +66,7 @@
     return LoanAnswer { grant->id(), given, lendable - given, false, grant->holderOnly() };
 }
 
-HolderGrant* HolderBook::grantToLend(const HolderDesk& desk)
+HolderGrant* HolderImpl::grantToLend(const HolderBudgetState& desk)
 {
     HolderGrant* best = nullptr;
     for (const std::uint32_t number : desk.grants) {
@@ -83,7 +83,7 @@
 
 // A LoanDone for an ask that never came is kept, so that the ask is denied if it comes late: its borrower has given it
 // up, and nobody else would ever give the tokens back.
-void HolderBook::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions)
+void HolderImpl::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions)
 {
     now_ = now;
     LoanAnswer answer = lending_.find(from, loan).value_or(LoanAnswer {});
--- a/tests/ledger/HolderLoanTest.cpp
+++ b/tests/ledger/HolderLoanTest.cpp
@@ -1,5 +1,5 @@
 #include "ledger/HolderFixture.h"
-#include "ledger/LoanLedger.h"
+#include "ledger/LoanAnswerHistory.h"
 
 namespace swiftlift::ledger {
 
@@ -255,7 +255,7 @@
 
 TEST(LoanLedgerTest, ForgetsFinishedLoansOnly)
 {
-    internal::LoanLedger ledger;
+    internal::LoanAnswerHistory ledger;
     const internal::LoanAnswer open { GrantId { Incarnation { 1 }, 1 }, Tokens { 5 }, {}, false };
     ledger.record(Incarnation { 1 }, 1, open);
     for (std::uint64_t loan = 2; loan <= 300; ++loan)
