--- a/include/swiftlift/ledger/HoldingPolicy.h
+++ b/include/swiftlift/ledger/HoldingPolicy.h
@@ -10,113 +10,125 @@
 
 namespace swiftlift::ledger {
 
-/** Which of the two measures weighs more: it moves the figures of a policy, never its safety. */
+/**
+ * @brief Whether a policy avoids refusals or overspend more. Changes how much is held, never the ledger's guarantees.
+ */
 enum class Weighting : std::uint8_t { Balanced, Refusals, Overspend };
 
-/** @brief Between which amounts, in seconds of demand, a router keeps what it holds of a budget. */
+/** @brief Bounds of what a router holds of a budget, in seconds of its demand. */
 struct Watermarks {
-    /** Below it, more is drawn. Has to outlast a cut from the log. */
+    /** More is drawn when less than this is held. Has to last while the log is unreachable. */
     double lowSeconds = 0;
-    /** Up to it. What is held here is refused elsewhere until it is lent or given back. */
+    /** Draws fill up to this. Other routers can't spend what is held here until it is lent or returned. */
     double highSeconds = 0;
 };
 
-/** @brief Figures of a policy. docs/HOLDINGS.md says what was weighed for each. */
+/** @brief Parameters of a policy; docs/HOLDINGS.md explains each choice. */
 struct PolicySettings {
     Weighting weighting = Weighting::Balanced;
-    /** Routers that a static split divides a budget between. */
+    /** Number of routers that a static split divides a budget between. */
     std::uint32_t splitBetween = 8;
-    /** In place of those of the weighting. */
+    /** Replaces the watermarks of the weighting when set. */
     std::optional<Watermarks> watermarks;
-    /** Part of a budget, in percent, that the routers together draw before any demand has been seen. */
+    /** Percentage of a budget that all routers together draw before there is demand. */
     std::uint32_t preallocationPercent = 0;
-    /** False in a fleet whose witnesses only seal: a bill of a grant counts whenever it lands. */
+    /** False in a fleet whose witnesses seal but never close grants: there, a bill counts however late it lands. */
     bool witnessesClose = true;
 };
 
-/** @brief One budget as one router sees it: all that a policy may decide from. */
+/** @brief State of one budget at one router: the complete input of a policy's decisions. */
 struct BudgetSituation {
-    /** Nothing: the policy's own. */
+    /** Weighting of this budget; empty: the policy's own weighting. */
     std::optional<Weighting> weighting;
-    /** Tokens per second reserved here of late. */
+    /** Tokens per second that requests have recently tried to reserve at this router. */
     double demand = 0;
-    /** Tokens per second that all routers have billed of late, as far as the fold is read; zero: not known. */
+    /** Tokens per second that all routers have recently billed, as far as the log has been read; zero: unknown. */
     double fleetRate = 0;
-    /** Largest recent request. */
+    /** Largest recent request at this router. */
     Tokens largest;
-    /** Largest request that waits for money now; zero when none does. */
+    /** Largest of the requests that wait for tokens; zero when none waits. */
     Tokens need;
-    /** Smallest request that waits for money now; zero when none does. */
+    /** Smallest of the requests that wait for tokens; zero when none waits. */
     Tokens smallestNeed;
-    /** Sum of the requests that wait for money now. */
+    /** Sum of the requests that wait for tokens. */
     Tokens waiting;
-    /** Not spent of the grants here, whether or not their witnesses answer. */
+    /** Unspent tokens of this router's grants, whether or not their witnesses answer. */
     Tokens remainder;
-    /** Spendable here, at once or as soon as the witness acknowledges; what a silent witness holds up is left out. */
+    /**
+     * Tokens spendable at once or as soon as the witness acknowledges them; without those above the ceiling of a grant
+     * whose witness does not answer.
+     */
     Tokens free;
-    /** Largest free part of one grant: a request is covered by one grant only. */
+    /** Largest part of `free` in one grant or loan: each request is covered by a single grant. */
     Tokens largestFree;
-    /** Sum of the grants that this incarnation was admitted, returned parts included. */
+    /** Sum of the grants that the ledger admitted to this incarnation, including parts returned since. */
     Tokens drawn;
-    /** What the fold, as far as it is read, says about the budget. */
+    /** Tokens bought for the budget, and those held by no grant, as far as the log has been read. */
     Tokens bought;
     Tokens available;
     bool logReachable = false;
-    /** Part of the budget is to be held here though demand has not been seen for long enough to go by it. */
+    /** Part of the budget is to be held here, since demand has not been observed for long enough to rely on it. */
     bool preallocated = false;
-    /** Routers of the fleet that live, as far as is known, this one included. */
+    /** Number of routers known to be alive, this one included. */
     std::uint32_t routers = 1;
-    /** Incarnations known to hold part of this budget, this one included. */
+    /** Number of incarnations known to hold part of this budget, this one included. */
     std::uint32_t sharers = 1;
-    /** Tokens were given back a moment ago because others were short: draw no more than what waits. */
-    bool cautious = false;
-    /** What another holder's draw was short by a moment ago; zero when none was. */
-    Tokens othersShort;
-    /** Since this router last gave part of the budget back. */
+    /** Tokens were returned recently because other holders were short: draw only what waiting requests need. */
+    bool drawOnlyForWaiting = false;
+    /** Shortfall of another holder's recent draw; zero when there was none. */
+    Tokens othersShortfall;
+    /** Time since this router last returned tokens of the budget. */
     Duration sinceReturn = Duration::max();
 };
 
+/** @brief Size of a draw. */
 struct DrawDecision {
+    /** Tokens to draw. */
     Tokens wanted;
+    /** Smallest amount that is of use; the draw is refused when less is available. */
     Tokens least;
 };
 
 /**
- * @brief How much to hold. Pure decisions: the holder keeps to the ledger's rules whatever a policy says.
+ * @brief Decides how much of a budget a router holds. Stateless; the holder keeps the ledger's rules whatever a policy
+ * decides.
  */
 class HoldingPolicy {
 public:
     virtual ~HoldingPolicy() = default;
 
-    /** @return What to draw now; nothing when what is held will do. */
+    /** @return Size of the draw to make now; nothing when no draw is needed. */
     [[nodiscard]] virtual std::optional<DrawDecision> draw(const BudgetSituation& situation) const = 0;
-    /** @return How far the witnessed ceiling should stand above what is spent, reserved and lent. */
-    [[nodiscard]] virtual Tokens headRoom(const BudgetSituation& situation) const = 0;
-    /** @return Part of `free` to give back to the budget now. */
+    /** @return How far the witnessed ceiling should be above the sum of what is billed, reserved and lent. */
+    [[nodiscard]] virtual Tokens headroom(const BudgetSituation& situation) const = 0;
+    /** @return Part of `free` to return to the budget now. */
     [[nodiscard]] virtual Tokens surplus(const BudgetSituation& situation) const = 0;
-    /** @return A grant's remainder below this goes back when there are other grants: no request would fit it. */
-    [[nodiscard]] virtual Tokens fragment(const BudgetSituation&) const { return {}; }
-    /** @return How much to ask a peer for; zero: no loans. */
+    /**
+     * @return Smallest remainder of a grant worth keeping: a smaller one fits no request, so it is returned when there
+     * are other grants.
+     */
+    [[nodiscard]] virtual Tokens minUsefulRemainder(const BudgetSituation&) const { return {}; }
+    /** @return Size of the loan to request from a peer; zero: none. */
     [[nodiscard]] virtual Tokens loanSize(const BudgetSituation& situation) const = 0;
-    /** @return How much of `free` a peer may borrow. */
+    /** @return Part of `free` that a peer may borrow. */
     [[nodiscard]] virtual Tokens lendable(const BudgetSituation& situation) const = 0;
-    /** @return Whether grants that the witness promised not to close are exchanged once the log is back. */
-    [[nodiscard]] virtual bool renewsAlone() const { return true; }
-    /** @return How long a request waits for what the others may give back, after they were told that money is short. */
-    [[nodiscard]] virtual Duration returnPatience() const { return std::chrono::seconds(1); }
-    /** @return Whether grants name a witness. */
+    /** @return Whether holder-only grants are replaced once the log is reachable again. */
+    [[nodiscard]] virtual bool replacesHolderOnlyGrants() const { return true; }
+    /** @return How long after a shortage signal requests wait for other holders to return tokens. */
+    [[nodiscard]] virtual Duration maxReturnWait() const { return std::chrono::seconds(1); }
+    /** @return Whether draws name a witness. */
     [[nodiscard]] virtual bool witnessed() const = 0;
     /**
-     * @return Whether a witness may close the grants of a holder that it has sealed. Where none does, what is below a
-     * ceiling may be spent and lent whether or not the log and the witness are in reach.
+     * @return Whether witnesses may close the grants that they have sealed. If not, tokens below a ceiling may be spent
+     * and lent even while both the log and the witness are unreachable.
      */
     [[nodiscard]] virtual bool witnessesClose() const { return true; }
 };
 
 /**
  * @param name `grants`, `static_split` or `append_per_request`.
- * @param settings Figures.
- * @return Nothing for an unknown name.
+ * @param settings Parameters of the policy.
+ * @return The policy; null for an unknown name.
  */
 [[nodiscard]] std::unique_ptr<HoldingPolicy> makePolicy(std::string_view name, PolicySettings settings);
 
--- a/src/ledger/BorrowedLoan.cpp
+++ b/src/ledger/BorrowedLoan.cpp
@@ -9,8 +9,9 @@
 
     using namespace std::chrono_literals;
 
-    constexpr Duration firstRepeat = 200ms;
-    constexpr std::uint32_t mostDoublings = 7;
+    /** Delay of the first retry of a loan message; doubles with each further one. */
+    constexpr Duration initialRetryDelay = 200ms;
+    constexpr std::uint32_t maxBackoffDoublings = 7;
 
 } // namespace
 
@@ -19,21 +20,21 @@
     return state_ == LoanState::Held ? amount_ - billed_ - reserved_ : Tokens {};
 }
 
-void BorrowedLoan::given(GrantId grant, Tokens amount, bool holderOnly, Instant now)
+void BorrowedLoan::onGranted(GrantId grant, Tokens amount, bool holderOnly, Instant now)
 {
-    assert(state_ == LoanState::Asked && "a loan is given once");
+    assert(state_ == LoanState::Requested && "a loan is granted once");
     state_ = LoanState::Held;
     grant_ = grant;
     holderOnly_ = holderOnly;
     amount_ = amount;
-    since_ = now;
+    lastUsedAt_ = now;
 }
 
 void BorrowedLoan::reserve(Tokens amount, Instant now)
 {
     assert(amount <= free() && "never above the loan");
     reserved_ += amount;
-    since_ = now;
+    lastUsedAt_ = now;
 }
 
 void BorrowedLoan::settle(RequestKey key, Tokens reserved, Tokens billed)
@@ -43,17 +44,17 @@
     if (billed == Tokens {})
         return;
     billed_ += billed;
-    emitted_ += billed;
-    unread_.insert(key);
+    emittedBills_ += billed;
+    unreadBills_.insert(key);
 }
 
-bool BorrowedLoan::billRead(RequestKey key, Tokens tokens, bool counted)
+bool BorrowedLoan::onBillRead(RequestKey key, Tokens tokens, bool counted)
 {
-    const auto found = unread_.find(key);
-    if (found == unread_.end())
+    const auto found = unreadBills_.find(key);
+    if (found == unreadBills_.end())
         return false;
-    unread_.erase(found);
-    // A loan that has ended told the lender its sum already; the lender frees these tokens itself as it reads them.
+    unreadBills_.erase(found);
+    // Once the loan has ended, its sum of bills was reported, and the lender frees these tokens when it reads the bill.
     if (!counted && state_ == LoanState::Held)
         billed_ -= tokens;
     return true;
@@ -63,16 +64,16 @@
 {
     assert(reserved_ == Tokens {} && "H10: not while a request may still be billed to it");
     state_ = LoanState::Ending;
-    since_ = now;
-    repeatAt_ = now;
+    lastUsedAt_ = now;
+    retryAt_ = now;
     attempts_ = 0;
 }
 
-bool BorrowedLoan::repeatDue(Instant now)
+bool BorrowedLoan::takeDueAttempt(Instant now)
 {
-    if (state_ == LoanState::Held || (attempts_ > 0 && now < repeatAt_))
+    if (state_ == LoanState::Held || (attempts_ > 0 && now < retryAt_))
         return false;
-    repeatAt_ = now + firstRepeat * (1U << std::min(attempts_, mostDoublings));
+    retryAt_ = now + initialRetryDelay * (1U << std::min(attempts_, maxBackoffDoublings));
     ++attempts_;
     return true;
 }
@@ -80,10 +81,11 @@
 void BorrowedLoan::print(std::ostream& out) const
 {
     out << "borrowed " << number_ << " from " << lender_ << ' ' << budget_.account << '/' << budget_.budget << " state "
-        << static_cast<int>(state_) << " grant " << grant_.number << " asked " << asked_ << " amount " << amount_
-        << " billed " << billed_ << " emitted " << emitted_ << " reserved " << reserved_ << " since "
-        << since_.time_since_epoch().count() << " repeat " << repeatAt_.time_since_epoch().count() << ' ' << attempts_;
-    for (const RequestKey& key : unread_)
+        << static_cast<int>(state_) << " grant " << grant_.number << " asked " << requestedAmount_ << " amount "
+        << amount_ << " billed " << billed_ << " emitted " << emittedBills_ << " reserved " << reserved_ << " since "
+        << lastUsedAt_.time_since_epoch().count() << " repeat " << retryAt_.time_since_epoch().count() << ' '
+        << attempts_;
+    for (const RequestKey& key : unreadBills_)
         out << " unread " << key.high << ':' << key.low;
     out << '\n';
 }
--- a/src/ledger/HolderBudgetState.cpp
+++ b/src/ledger/HolderBudgetState.cpp
@@ -8,11 +8,12 @@
 
     using namespace std::chrono_literals;
 
+    /** How long after its last draw another holder counts as sharing the budget. */
     constexpr Duration sharerMemory = 300s;
 
 } // namespace
 
-void HolderBudgetState::saw(Incarnation holder, Instant now)
+void HolderBudgetState::recordSharer(Incarnation holder, Instant now)
 {
     sharers[holder] = now;
     std::erase_if(sharers, [&](const auto& sharer) { return now - sharer.second >= sharerMemory; });
@@ -30,14 +31,15 @@
     const auto at = [](Instant instant) { return instant.time_since_epoch().count(); };
     demand.print(out);
     billed.print(out);
-    wants.print(out);
-    out << "drawing " << (drawing ? drawing->number : 0) << ' ' << drawingWanted << '@' << at(drawingSince) << " drawn "
-        << drawn << " returned " << (returnedAt ? at(*returnedAt) : -1) << " cautious " << at(cautiousUntil)
-        << " others " << othersShort << '@' << at(othersShortUntil) << " stocked " << preallocated;
-    signals.print(out);
-    rounds.print(out);
-    for (const auto& [sharer, seen] : sharers)
-        out << " sharer " << sharer << '@' << at(seen);
+    waitingRequests.print(out);
+    out << "drawing " << (pendingDraw ? pendingDraw->number : 0) << ' ' << pendingDrawAmount << '@'
+        << at(pendingDrawSince) << " drawn " << drawn << " returned " << (lastReturnAt ? at(*lastReturnAt) : -1)
+        << " cautious " << at(drawOnlyForWaitingUntil) << " others " << othersShortfall << '@'
+        << at(othersShortfallUntil) << " stocked " << preallocated;
+    shortageSignals.print(out);
+    lenderRotation.print(out);
+    for (const auto& [sharer, seenAt] : sharers)
+        out << " sharer " << sharer << '@' << at(seenAt);
     out << '\n';
 }
 
--- a/src/ledger/HolderBudgetState.h
+++ b/src/ledger/HolderBudgetState.h
@@ -15,42 +15,50 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief What a holder knows of one budget beside its grants and loans: demand, sharers, and when it last acted. */
+/** @brief State of one budget at a holder: demand, waiting requests, the draw in flight, and other holders. */
 struct HolderBudgetState {
-    /** Numbers of its grants that are not closed, oldest first. */
+    /** Numbers of this holder's grants of the budget that are not closed, oldest first. */
     std::vector<std::uint32_t> grants;
-    /** Numbers of its loans that are not acknowledged as done, oldest first. */
+    /** Numbers of this holder's loans that the lenders have not acknowledged as done, oldest first. */
     std::vector<std::uint64_t> loans;
+    /** Weighting of this budget; empty: the policy's own weighting. */
     std::optional<Weighting> weighting;
-    /** A share of the budget is to be held before there is demand. */
+    /** Whether part of the budget is to be held before there is demand. */
     bool preallocated = false;
+    /** Requests at this router. */
     HolderDemand demand;
-    /** What all routers bill. */
+    /** Counted bills of all routers. */
     HolderDemand billed;
-    HolderWants wants;
-    /** The draw in flight; at most one (H1). */
-    std::optional<GrantId> drawing;
-    Tokens drawingWanted;
-    Instant drawingSince {};
-    /** Sum of the grants admitted. */
+    WaitingRequests waitingRequests;
+    /** Grant whose draw is in flight; at most one per budget (H1). */
+    std::optional<GrantId> pendingDraw;
+    /** Tokens wanted by the draw in flight, and when the draw was emitted. */
+    Tokens pendingDrawAmount;
+    Instant pendingDrawSince {};
+    /** Sum of the grants that the ledger admitted to this incarnation. */
     Tokens drawn;
-    /** Other holders seen drawing, and when last. */
+    /** Other holders that share the budget, with the time at which each was last seen drawing. */
     std::map<Incarnation, Instant> sharers;
 
-    std::optional<Instant> returnedAt;
-    /** Until then no more is drawn than waits. */
-    Instant cautiousUntil {};
-    Tokens othersShort;
-    Instant othersShortUntil {};
-    ShortageSignals signals;
-    LenderRotation rounds;
+    /** When surplus tokens were last returned. */
+    std::optional<Instant> lastReturnAt;
+    /** Time until which draws cover only waiting requests. */
+    Instant drawOnlyForWaitingUntil {};
+    /** Shortfall of another holder's latest short draw, and the time until which it is considered. */
+    Tokens othersShortfall;
+    Instant othersShortfallUntil {};
+    ShortageSignals shortageSignals;
+    LenderRotation lenderRotation;
 
-    /** @return Whether there is nothing to look after. */
-    [[nodiscard]] bool quiet() const { return !preallocated && grants.empty() && loans.empty() && wants.empty(); }
+    /** @return Whether the budget needs no upkeep. */
+    [[nodiscard]] bool isIdle() const
+    {
+        return !preallocated && grants.empty() && loans.empty() && waitingRequests.empty();
+    }
 
-    /** Another holder drew from this budget, or holds part of it. */
-    void saw(Incarnation holder, Instant now);
-    /** @return Holders that drew of late, this one included. */
+    /** @brief Records that another holder drew from this budget or holds part of it. */
+    void recordSharer(Incarnation holder, Instant now);
+    /** @return Number of holders that drew recently, this one included. */
     [[nodiscard]] std::uint32_t sharerCount(Instant now) const;
 
     void print(std::ostream& out) const;
--- a/src/ledger/HolderBudgetUpdate.cpp
+++ b/src/ledger/HolderBudgetUpdate.cpp
@@ -9,14 +9,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr Incarnation nobody {};
+    constexpr Incarnation noWitness {};
     constexpr Tokens none {};
-    /** After giving back for others' sake, no more is drawn than waits. */
-    constexpr Duration cautionAfterReturn = 3s;
-    /** After so long with requests of any account, their demand is known, and no stock is kept beyond it. */
-    constexpr Duration demandSeen = 5s;
-    /** A witness that is silent for this long is not counted on. */
-    constexpr Duration witnessPatience = 500ms;
+    /** How long after a return for another holder's shortage draws cover only waiting requests. */
+    constexpr Duration cautionPeriodAfterReturn = 3s;
+    /** Time since the first request of any account after which demand is known and nothing more is preallocated. */
+    constexpr Duration demandObservationPeriod = 5s;
+    /** Time without an answer after which the part of a grant above its ceiling does not count as free. */
+    constexpr Duration witnessTimeout = 500ms;
 
 } // namespace
 
@@ -27,134 +27,135 @@
         witnessSince_ = now;
     environment_ = environment;
     if (environment.logReachable)
-        logLostAt_.reset();
-    else if (!logLostAt_)
-        logLostAt_ = now;
-    for (auto& [budget, desk] : desks_) {
-        desk.wants.expire(now_);
-        if (!desk.quiet())
-            work(budget, desk, actions);
+        logUnreachableSince_.reset();
+    else if (!logUnreachableSince_)
+        logUnreachableSince_ = now;
+    for (auto& [budget, budgetState] : budgetStates_) {
+        budgetState.waitingRequests.expire(now_);
+        if (!budgetState.isIdle())
+            updateBudget(budget, budgetState, actions);
     }
     flushRaises(actions);
 }
 
-void HolderImpl::work(const BudgetRef& budget, HolderBudgetState& desk, LedgerActions& actions)
+void HolderImpl::updateBudget(const BudgetRef& budget, HolderBudgetState& budgetState, LedgerActions& actions)
 {
-    replaceAlone(desk, actions);
-    moveLoans(desk, situationOf(budget, desk), actions);
-    giveBackSurplus(desk, situationOf(budget, desk), actions);
-    closeIdle(desk, situationOf(budget, desk), actions);
-    draw(budget, desk, situationOf(budget, desk), actions);
-    const BudgetSituation situation = situationOf(budget, desk);
-    borrow(budget, desk, situation, actions);
-    raiseCeilings(desk, situation, actions);
+    replaceHolderOnlyGrants(budgetState, actions);
+    advanceLoans(budgetState, situationOf(budget, budgetState), actions);
+    returnSurplus(budgetState, situationOf(budget, budgetState), actions);
+    closeIdleGrants(budgetState, situationOf(budget, budgetState), actions);
+    draw(budget, budgetState, situationOf(budget, budgetState), actions);
+    const BudgetSituation situation = situationOf(budget, budgetState);
+    borrow(budget, budgetState, situation, actions);
+    raiseCeilings(budgetState, situation, actions);
 }
 
-BudgetSituation HolderImpl::situationOf(const BudgetRef& budget, const HolderBudgetState& desk) const
+BudgetSituation HolderImpl::situationOf(const BudgetRef& budget, const HolderBudgetState& budgetState) const
 {
     BudgetSituation situation;
-    situation.weighting = desk.weighting;
-    situation.demand = desk.demand.rate(now_);
-    situation.fleetRate = desk.billed.rate(now_);
-    situation.largest = desk.demand.largest(now_);
-    situation.need = desk.wants.largest();
-    situation.smallestNeed = desk.wants.smallest();
-    situation.waiting = desk.wants.sum();
-    situation.remainder = grantsRemainder(desk);
-    countFree(desk, situation);
-    situation.drawn = desk.drawn;
+    situation.weighting = budgetState.weighting;
+    situation.demand = budgetState.demand.rate(now_);
+    situation.fleetRate = budgetState.billed.rate(now_);
+    situation.largest = budgetState.demand.largest(now_);
+    situation.need = budgetState.waitingRequests.largest();
+    situation.smallestNeed = budgetState.waitingRequests.smallest();
+    situation.waiting = budgetState.waitingRequests.sum();
+    situation.remainder = grantsRemainder(budgetState);
+    addFreeTokens(budgetState, situation);
+    situation.drawn = budgetState.drawn;
     if (const std::optional<BudgetView> view = fold_->budget(budget)) {
         situation.bought = view->bought;
         situation.available = view->available();
-        // A router that starts anew amid traffic sees demand at once, and a stock would be what it takes from the
-        // others.
-        const bool untouched = view->billed == none || grantsRemainder(desk) > none;
-        const bool demandUnknown = !busySince_ || now_ - *busySince_ < demandSeen;
-        situation.preallocated = desk.preallocated && untouched && demandUnknown;
+        // A router that restarts under traffic observes demand at once, and a preallocation would take tokens from
+        // other routers.
+        const bool untouched = view->billed == none || grantsRemainder(budgetState) > none;
+        const bool demandUnknown = !firstRequestAt_ || now_ - *firstRequestAt_ < demandObservationPeriod;
+        situation.preallocated = budgetState.preallocated && untouched && demandUnknown;
     }
     situation.logReachable = environment_.logReachable;
-    situation.sharers = desk.sharerCount(now_);
+    situation.sharers = budgetState.sharerCount(now_);
     situation.routers = environment_.routers;
-    situation.cautious = now_ < desk.cautiousUntil;
-    situation.othersShort = now_ < desk.othersShortUntil ? desk.othersShort : none;
-    if (desk.returnedAt)
-        situation.sinceReturn = now_ - *desk.returnedAt;
+    situation.drawOnlyForWaiting = now_ < budgetState.drawOnlyForWaitingUntil;
+    situation.othersShortfall = now_ < budgetState.othersShortfallUntil ? budgetState.othersShortfall : none;
+    if (budgetState.lastReturnAt)
+        situation.sinceReturn = now_ - *budgetState.lastReturnAt;
     return situation;
 }
 
-void HolderImpl::countFree(const HolderBudgetState& desk, BudgetSituation& situation) const
+void HolderImpl::addFreeTokens(const HolderBudgetState& budgetState, BudgetSituation& situation) const
 {
     const auto count = [&](Tokens free) {
         situation.free += free;
         situation.largestFree = std::max(situation.largestFree, free);
     };
-    for (const std::uint32_t number : desk.grants) {
+    for (const std::uint32_t number : budgetState.grants) {
         const HolderGrant& grant = grants_.at(number);
-        const bool stuck = grant.raise.refused || witnessSilent(grant, witnessPatience);
-        if (!insecure(grant))
+        const bool stuck = grant.raise.refused || isWitnessSilent(grant, witnessTimeout);
+        if (!isBillAtRisk(grant))
             count(stuck ? grant.free() : grant.remainder());
     }
-    for (const std::uint64_t number : desk.loans)
+    for (const std::uint64_t number : budgetState.loans)
         count(loans_.at(number).free());
 }
 
 void HolderImpl::draw(
-    const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+    const BudgetRef& budget, HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (desk.drawing || retired_ || !environment_.logReachable || !fold_->budget(budget))
+    if (budgetState.pendingDraw || retired_ || !environment_.logReachable || !fold_->budget(budget))
         return;
-    if (environment_.stopping && desk.wants.empty())
+    if (environment_.stopping && budgetState.waitingRequests.empty())
         return;
     const std::optional<DrawDecision> decision = policy_->draw(situation);
     if (!decision)
         return;
-    if (situation.available < decision->least && !gather(desk, situation, actions)) {
-        // Nothing can come of it by itself. Made now and then, it tells the others that money is short here.
-        if (!desk.signals.due(now_))
+    if (situation.available < decision->least && !consolidateRemainders(budgetState, situation, actions)) {
+        // The ledger will refuse this draw. It is made at intervals as a signal that this holder is short of tokens.
+        if (!budgetState.shortageSignals.isDue(now_))
             return;
-        desk.signals.sent(now_);
+        budgetState.shortageSignals.onSent(now_);
     }
     const GrantId id { self_, ++lastGrant_ };
-    desk.drawing = id;
-    desk.drawingWanted = decision->wanted;
-    desk.drawingSince = now_;
-    desk.grants.push_back(id.number);
+    budgetState.pendingDraw = id;
+    budgetState.pendingDrawAmount = decision->wanted;
+    budgetState.pendingDrawSince = now_;
+    budgetState.grants.push_back(id.number);
     grants_.try_emplace(id.number, id, budget);
-    const Incarnation witness = policy_->witnessed() ? witnessToName() : nobody;
+    const Incarnation witness = policy_->witnessed() ? witnessToName() : noWitness;
     actions.emplace_back(AppendEntry { Draw { id, budget, decision->wanted, decision->least, witness } });
 }
 
-// A request is covered by one grant only. Several remainders that are too small each, but not together, go back first:
-// the returns land before the draw, which then gets them as one grant.
-bool HolderImpl::gather(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+// A request is covered by a single grant. When several remainders would cover it only together, they are returned
+// first: the returns land before the draw, which then gets them as one grant.
+bool HolderImpl::consolidateRemainders(
+    const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    const Tokens remainder = grantsRemainder(desk);
+    const Tokens remainder = grantsRemainder(budgetState);
     if (situation.largestFree >= situation.need || situation.available + remainder < situation.need)
         return false;
-    giveBack(desk, remainder, actions);
+    returnTokens(budgetState, remainder, actions);
     return true;
 }
 
-void HolderImpl::giveBackSurplus(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::returnSurplus(HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (!desk.wants.empty() || (!environment_.logReachable && !leaving()))
+    if (!budgetState.waitingRequests.empty() || (!environment_.logReachable && !isLeaving()))
         return;
-    const Tokens remainder = grantsRemainder(desk);
-    const Tokens surplus = leaving() ? remainder : std::min(policy_->surplus(situation), remainder);
+    const Tokens remainder = grantsRemainder(budgetState);
+    const Tokens surplus = isLeaving() ? remainder : std::min(policy_->surplus(situation), remainder);
     if (surplus <= none)
         return;
-    giveBack(desk, surplus, actions);
-    desk.returnedAt = now_;
-    if (situation.othersShort > none)
-        desk.cautiousUntil = now_ + cautionAfterReturn;
-    desk.othersShort = none;
+    returnTokens(budgetState, surplus, actions);
+    budgetState.lastReturnAt = now_;
+    if (situation.othersShortfall > none)
+        budgetState.drawOnlyForWaitingUntil = now_ + cautionPeriodAfterReturn;
+    budgetState.othersShortfall = none;
 }
 
-/** Smallest remainders first, so that whole grants can be closed. */
-void HolderImpl::giveBack(const HolderBudgetState& desk, Tokens amount, LedgerActions& actions)
+// Returns the smallest remainders first, so that whole grants can be closed.
+void HolderImpl::returnTokens(const HolderBudgetState& budgetState, Tokens amount, LedgerActions& actions)
 {
     std::vector<HolderGrant*> open;
-    for (const std::uint32_t number : desk.grants) {
+    for (const std::uint32_t number : budgetState.grants) {
         if (HolderGrant& grant = grants_.at(number); grant.remainder() > none)
             open.push_back(&grant);
     }
@@ -164,42 +165,44 @@
         if (part == none)
             return;
         amount -= part;
-        if (part == grant->remainder() && grant->idle()) {
+        if (part == grant->remainder() && grant->isIdle()) {
             close(*grant, actions);
             continue;
         }
-        grant->giveBack(part);
+        grant->returnTokens(part);
         actions.emplace_back(AppendEntry { Return { grant->id(), part } });
     }
 }
 
-// Each grant ends with a remainder that no request fits. Kept, they would add up: one more grant to look through and a
-// few more tokens out of reach with every draw.
-void HolderImpl::closeIdle(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+// Each grant ends with a remainder that is too small for any request. Unless such grants are closed, the number of
+// grants to search and the tokens tied up in them grow with every draw.
+void HolderImpl::closeIdleGrants(
+    const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    const bool mayTidy = desk.wants.empty() && situation.logReachable;
-    const Tokens fragment = mayTidy ? policy_->fragment(situation) : none;
-    for (const std::uint32_t number : desk.grants) {
+    const bool mayReturnFragments = budgetState.waitingRequests.empty() && situation.logReachable;
+    const Tokens minUsefulRemainder = mayReturnFragments ? policy_->minUsefulRemainder(situation) : none;
+    for (const std::uint32_t number : budgetState.grants) {
         HolderGrant& grant = grants_.at(number);
-        const bool isNewest = number == desk.grants.back();
-        const bool spent = grant.isOpen() && (grant.remainder() == none || (!isNewest && grant.remainder() < fragment));
-        const bool over = spent || grant.state() == HolderGrantState::Sealed || (grant.isOpen() && retired_);
-        if (over && grant.idle())
+        const bool isNewest = number == budgetState.grants.back();
+        const bool spent
+            = grant.isOpen() && (grant.remainder() == none || (!isNewest && grant.remainder() < minUsefulRemainder));
+        const bool closable = spent || grant.state() == HolderGrantState::Sealed || (grant.isOpen() && retired_);
+        if (closable && grant.isIdle())
             close(grant, actions);
     }
 }
 
-// H5: only when nothing of it is reserved, lent or still to be billed; every bill was emitted before.
+// H5: nothing of the grant may be reserved, lent or still to be billed; every bill was emitted before.
 void HolderImpl::close(HolderGrant& grant, LedgerActions& actions)
 {
     grant.close();
     actions.emplace_back(AppendEntry { CloseGrant { grant.id() } });
 }
 
-Tokens HolderImpl::grantsRemainder(const HolderBudgetState& desk) const
+Tokens HolderImpl::grantsRemainder(const HolderBudgetState& budgetState) const
 {
     Tokens sum;
-    for (const std::uint32_t number : desk.grants)
+    for (const std::uint32_t number : budgetState.grants)
         sum += grants_.at(number).remainder();
     return sum;
 }
--- a/src/ledger/HolderCeilings.cpp
+++ b/src/ledger/HolderCeilings.cpp
@@ -8,146 +8,148 @@
 
     using namespace std::chrono_literals;
 
-    constexpr Incarnation nobody {};
-    constexpr Duration firstRepeat = 100ms;
-    constexpr std::uint32_t mostDoublings = 4;
-    /** After this long without an answer the witness is not counted on. */
-    constexpr Duration answerPatience = 500ms;
-    /** After this long without the log, answers go out whose bills only this process knows of. */
-    constexpr Duration outagePatience = 1s;
-    /** After this long without an answer another witness is named. */
-    constexpr Duration changePatience = 1s;
-    /** A witness that was silent is named again after this long: by then it has read what it lacked, or is suspected.
-     */
-    constexpr Duration silencePause = 3s;
-    /** Another witness has to be the better one for this long before one that answers is replaced. */
-    constexpr Duration settledWitness = 3s;
-
-    Duration pauseAfter(std::uint32_t attempts)
+    constexpr Incarnation noWitness {};
+    /** Delay of the first retry of a raise; doubles with each further one. */
+    constexpr Duration initialRetryDelay = 100ms;
+    constexpr std::uint32_t maxBackoffDoublings = 4;
+    /** Time without an answer after which requests no longer wait for the witness. */
+    constexpr Duration ceilingAnswerTimeout = 500ms;
+    /** Time without the log after which requests are answered although only this process has their bills. */
+    constexpr Duration outageThreshold = 1s;
+    /** Time without an answer after which another witness is named. */
+    constexpr Duration witnessChangeTimeout = 1s;
+    /** A silent witness may be named again after this time: by then it has read the missing records or is suspected. */
+    constexpr Duration silentWitnessPause = 3s;
+    /** How long another witness has to be preferred before it replaces one that answers. */
+    constexpr Duration stableWitnessPeriod = 3s;
+
+    Duration retryDelay(std::uint32_t attempts)
     {
-        return firstRepeat * (1U << std::min(attempts == 0 ? 0U : attempts - 1U, mostDoublings));
+        return initialRetryDelay * (1U << std::min(attempts == 0 ? 0U : attempts - 1U, maxBackoffDoublings));
     }
 
 } // namespace
 
-void HolderImpl::raiseCeilings(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::raiseCeilings(
+    const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (leaving() && desk.wants.empty())
+    if (isLeaving() && budgetState.waitingRequests.empty())
         return;
-    const Tokens headRoom = std::max(policy_->headRoom(situation), situation.waiting);
-    for (const std::uint32_t number : desk.grants) {
+    const Tokens headroom = std::max(policy_->headroom(situation), situation.waiting);
+    for (const std::uint32_t number : budgetState.grants) {
         HolderGrant& grant = grants_.at(number);
-        moveWitness(grant, headRoom, actions);
-        raiseCeiling(grant, headRoom, situation.waiting);
+        updateWitness(grant, headroom, actions);
+        raiseCeiling(grant, headroom, situation.waiting);
     }
 }
 
-// Asks ahead of need, from half of the head-room on. What was asked is asked again until it is acknowledged: messages
-// get lost, and a witness that has not read the grant yet stays silent.
-void HolderImpl::raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting)
+// Requests a raise ahead of need, once half of the headroom is used, and repeats it until it is acknowledged: messages
+// get lost, and a witness does not answer before it has read the grant from the log.
+void HolderImpl::raiseCeiling(HolderGrant& grant, Tokens headroom, Tokens waiting)
 {
-    if (!grant.isOpen() || grant.witness() == nobody || grant.changingWitness())
+    if (!grant.isOpen() || grant.witness() == noWitness || grant.isChangingWitness())
         return;
-    const Tokens trigger = std::max(waiting, Tokens { (headRoom.value() + 1) / 2 });
-    const bool holderOnly = policy_->witnessesClose() && inOutage();
-    const bool wantsAlone = holderOnly && !grant.holderOnly();
-    if (!wantsAlone && grant.ceiling() >= std::min(grant.amount(), grant.charge() + trigger))
+    const Tokens raiseThreshold = std::max(waiting, Tokens { (headroom.value() + 1) / 2 });
+    const bool holderOnly = policy_->witnessesClose() && isInOutage();
+    const bool needsHolderOnly = holderOnly && !grant.holderOnly();
+    if (!needsHolderOnly && grant.ceiling() >= std::min(grant.amount(), grant.committed() + raiseThreshold))
         return;
     HolderGrant::Raise& raise = grant.raise;
-    const bool asked = raise.attempts > 0;
-    const bool enough
-        = raise.holderOnly == holderOnly && raise.asked >= std::min(grant.amount(), grant.charge() + waiting);
-    if (asked && (enough || raise.refused) && now_ < raise.askedAt + pauseAfter(raise.attempts))
+    const bool alreadyRequested = raise.attempts > 0;
+    const bool alreadyCovers = raise.holderOnly == holderOnly
+        && raise.requestedCeiling >= std::min(grant.amount(), grant.committed() + waiting);
+    if (alreadyRequested && (alreadyCovers || raise.refused) && now_ < raise.requestedAt + retryDelay(raise.attempts))
         return;
-    if (!asked)
-        raise.firstAskedAt = now_;
-    raise.asked = std::min(grant.amount(), grant.charge() + headRoom);
+    if (!alreadyRequested)
+        raise.firstRequestedAt = now_;
+    raise.requestedCeiling = std::min(grant.amount(), grant.committed() + headroom);
     raise.holderOnly = holderOnly;
-    raise.askedAt = now_;
+    raise.requestedAt = now_;
     ++raise.attempts;
-    raises_[grant.witness()].push_back(Ceiling { grant.id(), raise.asked, holderOnly });
+    raises_[grant.witness()].push_back(Ceiling { grant.id(), raise.requestedCeiling, holderOnly });
 }
 
-// H6: the change states the ceiling that holds until it is read back.
-void HolderImpl::moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions)
+// H6: the entry states the ceiling that applies until the change is read back.
+void HolderImpl::updateWitness(HolderGrant& grant, Tokens headroom, LedgerActions& actions)
 {
-    noteSilence(grant);
-    const Incarnation better = witnessToName();
-    if (!policy_->witnessed() || !environment_.logReachable || leaving())
+    recordSilentWitness(grant);
+    const Incarnation preferredWitness = witnessToName();
+    if (!policy_->witnessed() || !environment_.logReachable || isLeaving())
         return;
-    if (!grant.isOpen() || grant.changingWitness() || grant.holderOnly() || better == grant.witness())
+    if (!grant.isOpen() || grant.isChangingWitness() || grant.holderOnly() || preferredWitness == grant.witness())
         return;
-    const bool silent = grant.raise.refused || witnessSilent(grant, changePatience);
-    const bool settled = better != nobody && now_ - witnessSince_ >= settledWitness;
-    if (!silent && !settled)
+    const bool silent = grant.raise.refused || isWitnessSilent(grant, witnessChangeTimeout);
+    const bool preferenceStable = preferredWitness != noWitness && now_ - witnessSince_ >= stableWitnessPeriod;
+    if (!silent && !preferenceStable)
         return;
-    const Tokens ceiling = grant.changeWitness(better, headRoom);
-    actions.emplace_back(AppendEntry { ChangeWitness { grant.id(), better, ceiling } });
+    const Tokens ceiling = grant.changeWitness(preferredWitness, headroom);
+    actions.emplace_back(AppendEntry { ChangeWitness { grant.id(), preferredWitness, ceiling } });
 }
 
-// What goes wrong otherwise: after an outage a witness that is slow to read the log knows none of the new grants and
-// stays silent. Each draw names it again, nothing of it may be spent, and the next draw takes half of what is left. One
-// notices by grants in quick succession of which nothing is billed, and by refusals beside them. A grant without a
-// witness is spendable as soon as it is read; it is lost with its holder, which is the smaller loss.
-void HolderImpl::noteSilence(const HolderGrant& grant)
+// After an outage, a witness with a backlog of the log has not read the new grants and does not answer. If each draw
+// named this witness again, nothing of the grants could be spent, and each further draw would take half of what is left
+// of the budget. Symptom: grants in quick succession without any bill, and refused requests. A grant without a witness
+// is spendable as soon as it is read; that it is lost if its holder fails is the smaller loss.
+void HolderImpl::recordSilentWitness(const HolderGrant& grant)
 {
-    if (grant.witness() == nobody || !grant.isOpen() || !witnessSilent(grant, answerPatience))
+    if (grant.witness() == noWitness || !grant.isOpen() || !isWitnessSilent(grant, ceilingAnswerTimeout))
         return;
     silentWitness_ = grant.witness();
-    silentUntil_ = now_ + silencePause;
+    silentUntil_ = now_ + silentWitnessPause;
 }
 
 Incarnation HolderImpl::witnessToName() const
 {
-    const Incarnation witness = environment_.witness.value_or(nobody);
-    return witness == silentWitness_ && now_ < silentUntil_ ? nobody : witness;
+    const Incarnation witness = environment_.witness.value_or(noWitness);
+    return witness == silentWitness_ && now_ < silentUntil_ ? noWitness : witness;
 }
 
-bool HolderImpl::inOutage() const { return logLostAt_ && now_ - *logLostAt_ >= outagePatience; }
+bool HolderImpl::isInOutage() const { return logUnreachableSince_ && now_ - *logUnreachableSince_ >= outageThreshold; }
 
-// What goes wrong: a request is accepted on a grant whose witness can't be asked, and its bill finds the grant closed:
-// the caller has had its tokens and is told "unknown". One notices by answers that end with bill_refused.
-bool HolderImpl::insecure(const HolderGrant& grant) const
+// If a request were accepted on a grant whose bill is at risk, the witness could close the grant before the bill lands:
+// the caller would receive its tokens and then the result "unknown". Symptom: answers that end with bill_refused.
+bool HolderImpl::isBillAtRisk(const HolderGrant& grant) const
 {
-    const bool witnessed = grant.witness() != nobody && policy_->witnessesClose();
-    const bool witnessHere = environment_.witness == grant.witness() && !witnessSilent(grant, answerPatience);
-    return witnessed && !grant.holderOnly() && !witnessHere && !environment_.logReachable;
+    const bool witnessed = grant.witness() != noWitness && policy_->witnessesClose();
+    const bool witnessResponds
+        = environment_.witness == grant.witness() && !isWitnessSilent(grant, ceilingAnswerTimeout);
+    return witnessed && !grant.holderOnly() && !witnessResponds && !environment_.logReachable;
 }
 
-// A grant whose witness has promised not to close it would be lost with this process. Once the log is back it is
-// exchanged for one that the witness may close.
-void HolderImpl::replaceAlone(const HolderBudgetState& desk, LedgerActions& actions)
+// A holder-only grant is lost if this process fails. Once the log is reachable, it is replaced by a grant that the
+// witness may close.
+void HolderImpl::replaceHolderOnlyGrants(const HolderBudgetState& budgetState, LedgerActions& actions)
 {
-    if (!environment_.logReachable || !policy_->renewsAlone())
+    if (!environment_.logReachable || !policy_->replacesHolderOnlyGrants())
         return;
-    for (const std::uint32_t number : desk.grants) {
+    for (const std::uint32_t number : budgetState.grants) {
         HolderGrant& grant = grants_.at(number);
         if (!grant.isOpen() || !grant.holderOnly())
             continue;
         const Tokens remainder = grant.remainder();
-        if (grant.idle()) {
+        if (grant.isIdle()) {
             close(grant, actions);
         } else if (remainder > Tokens {}) {
-            grant.giveBack(remainder);
+            grant.returnTokens(remainder);
             actions.emplace_back(AppendEntry { Return { grant.id(), remainder } });
         }
     }
 }
 
-bool HolderImpl::witnessSilent(const HolderGrant& grant, Duration patience) const
+bool HolderImpl::isWitnessSilent(const HolderGrant& grant, Duration timeout) const
 {
-    return grant.raise.attempts > 0 && now_ - grant.raise.firstAskedAt > patience;
+    return grant.raise.attempts > 0 && now_ - grant.raise.firstRequestedAt > timeout;
 }
 
-bool HolderImpl::raisePending(const HolderBudgetState& desk, Tokens amount) const
+bool HolderImpl::isRaisePending(const HolderBudgetState& budgetState, Tokens amount) const
 {
-    return std::ranges::any_of(desk.grants, [&](std::uint32_t number) {
+    return std::ranges::any_of(budgetState.grants, [&](std::uint32_t number) {
         const HolderGrant& grant = grants_.at(number);
         if (grant.remainder() < amount)
             return false;
-        if (grant.changingWitness())
+        if (grant.isChangingWitness())
             return environment_.logReachable;
-        return grant.raise.attempts > 0 && !grant.raise.refused && !witnessSilent(grant, answerPatience);
+        return grant.raise.attempts > 0 && !grant.raise.refused && !isWitnessSilent(grant, ceilingAnswerTimeout);
     });
 }
 
@@ -170,7 +172,7 @@
             continue;
         HolderGrant& grant = found->second;
         const Tokens before = grant.free();
-        grant.acknowledged(from, acked.ceiling, acked.holderOnly);
+        grant.onCeilingAcknowledged(from, acked.ceiling, acked.holderOnly);
         if (grant.free() > before)
             actions.emplace_back(TokensAvailable { grant.budget() });
     }
@@ -186,7 +188,7 @@
         if (refused.holder != self_ || found == grants_.end() || found->second.witness() != from)
             continue;
         found->second.raise.refused = true;
-        work(found->second.budget(), deskOf(found->second.budget()), actions);
+        updateBudget(found->second.budget(), budgetStateOf(found->second.budget()), actions);
     }
     flushRaises(actions);
 }
--- a/src/ledger/HolderDemand.cpp
+++ b/src/ledger/HolderDemand.cpp
@@ -10,11 +10,15 @@
 
     using namespace std::chrono_literals;
 
+    /** Half-life of a recorded amount in the rate. */
     constexpr double halfLifeSeconds = 10;
-    constexpr Duration largestWindow = 300s;
-    constexpr Duration wantLifetime = 2s;
-    /** Demand seen for less than this is taken to have been seen for this long: one request tells no rate. */
-    constexpr double leastSeenSeconds = 5;
+    /** The largest amount is forgotten after one to two of these windows. */
+    constexpr Duration largestRequestWindow = 300s;
+    /** Time without a retry after which a waiting request is dropped. */
+    constexpr Duration waitingRequestLifetime = 2s;
+    /** Lower bound of the observation time that a rate is computed over, since a single request does not give a rate.
+     */
+    constexpr double minObservedSeconds = 5;
 
     double secondsBetween(Instant from, Instant to)
     {
@@ -23,57 +27,58 @@
 
 } // namespace
 
-void HolderDemand::note(Tokens amount, Instant now)
+void HolderDemand::record(Tokens amount, Instant now)
 {
-    weight_
-        = weight_ * std::exp2(-secondsBetween(weighedAt_, now) / halfLifeSeconds) + static_cast<double>(amount.value());
-    weighedAt_ = now;
-    firstNoted_ = firstNoted_.value_or(now);
-    if (now - windowStart_ >= largestWindow) {
-        formerLargest_ = now - windowStart_ >= 2 * largestWindow ? Tokens {} : largest_;
+    decayedSum_ = decayedSum_ * std::exp2(-secondsBetween(decayedAt_, now) / halfLifeSeconds)
+        + static_cast<double>(amount.value());
+    decayedAt_ = now;
+    firstRecordedAt_ = firstRecordedAt_.value_or(now);
+    if (now - windowStart_ >= largestRequestWindow) {
+        previousLargest_ = now - windowStart_ >= 2 * largestRequestWindow ? Tokens {} : largest_;
         largest_ = Tokens {};
         windowStart_ = now;
     }
     largest_ = std::max(largest_, amount);
 }
 
-void HolderDemand::withdraw(Tokens amount, Instant noted, Instant now)
+void HolderDemand::withdraw(Tokens amount, Instant recordedAt, Instant now)
 {
-    const double left = static_cast<double>(amount.value()) * std::exp2(-secondsBetween(noted, now) / halfLifeSeconds);
-    const double decayed = weight_ * std::exp2(-secondsBetween(weighedAt_, now) / halfLifeSeconds);
-    weight_ = std::max(decayed - left, 0.0);
-    weighedAt_ = now;
+    const double remaining
+        = static_cast<double>(amount.value()) * std::exp2(-secondsBetween(recordedAt, now) / halfLifeSeconds);
+    const double decayed = decayedSum_ * std::exp2(-secondsBetween(decayedAt_, now) / halfLifeSeconds);
+    decayedSum_ = std::max(decayed - remaining, 0.0);
+    decayedAt_ = now;
 }
 
 double HolderDemand::rate(Instant now) const
 {
-    if (!firstNoted_)
+    if (!firstRecordedAt_)
         return 0;
-    const double decayed = weight_ * std::exp2(-secondsBetween(weighedAt_, now) / halfLifeSeconds);
-    // A decaying sum reaches its level only after several half-lives: after 3 s of steady demand it stands at 19% of
-    // the rate, and a router that then loses the log holds a fifth of what it needs. Divided by the weight that could
-    // have come together since the first request, it is right from the start on.
-    const double seen = std::max(secondsBetween(*firstNoted_, now), leastSeenSeconds);
-    return decayed * std::numbers::ln2 / halfLifeSeconds / (1 - std::exp2(-seen / halfLifeSeconds));
+    const double decayed = decayedSum_ * std::exp2(-secondsBetween(decayedAt_, now) / halfLifeSeconds);
+    // A decaying sum reaches its level only after several half-lives. After 3 s of steady demand it is 19% of the rate,
+    // so that a router that loses the log then would hold a fifth of what it needs. Dividing by the weight accumulated
+    // since the first request removes this bias.
+    const double observedSeconds = std::max(secondsBetween(*firstRecordedAt_, now), minObservedSeconds);
+    return decayed * std::numbers::ln2 / halfLifeSeconds / (1 - std::exp2(-observedSeconds / halfLifeSeconds));
 }
 
 Tokens HolderDemand::largest(Instant now) const
 {
-    if (now - windowStart_ >= 2 * largestWindow)
+    if (now - windowStart_ >= 2 * largestRequestWindow)
         return {};
-    return now - windowStart_ >= largestWindow ? largest_ : std::max(largest_, formerLargest_);
+    return now - windowStart_ >= largestRequestWindow ? largest_ : std::max(largest_, previousLargest_);
 }
 
 void HolderDemand::print(std::ostream& out) const
 {
-    out << "demand " << weight_ << '@' << weighedAt_.time_since_epoch().count() << ' ' << largest_ << ' '
-        << formerLargest_ << '@' << windowStart_.time_since_epoch().count() << '\n';
+    out << "demand " << decayedSum_ << '@' << decayedAt_.time_since_epoch().count() << ' ' << largest_ << ' '
+        << previousLargest_ << '@' << windowStart_.time_since_epoch().count() << '\n';
 }
 
-bool HolderWants::add(RequestKey key, Tokens amount, Instant now)
+bool WaitingRequests::add(RequestKey key, Tokens amount, Instant now)
 {
-    const auto [found, isNew] = wants_.try_emplace(key, HolderWant { amount, now, now });
-    found->second.askedAt = now;
+    const auto [found, isNew] = requests_.try_emplace(key, WaitingRequest { amount, now, now });
+    found->second.lastTriedAt = now;
     if (isNew) {
         amounts_.insert(amount);
         sum_ += amount;
@@ -81,50 +86,51 @@
     return isNew;
 }
 
-std::optional<HolderWant> HolderWants::remove(RequestKey key)
+std::optional<WaitingRequest> WaitingRequests::remove(RequestKey key)
 {
-    const auto found = wants_.find(key);
-    if (found == wants_.end())
+    const auto found = requests_.find(key);
+    if (found == requests_.end())
         return std::nullopt;
-    const HolderWant want = found->second;
-    forget(want.amount);
-    wants_.erase(found);
-    return want;
+    const WaitingRequest request = found->second;
+    removeAmount(request.amount);
+    requests_.erase(found);
+    return request;
 }
 
-void HolderWants::expire(Instant now)
+void WaitingRequests::expire(Instant now)
 {
-    for (auto want = wants_.begin(); want != wants_.end();) {
-        if (now - want->second.askedAt <= wantLifetime) {
-            ++want;
+    for (auto request = requests_.begin(); request != requests_.end();) {
+        if (now - request->second.lastTriedAt <= waitingRequestLifetime) {
+            ++request;
             continue;
         }
-        forget(want->second.amount);
-        want = wants_.erase(want);
+        removeAmount(request->second.amount);
+        request = requests_.erase(request);
     }
 }
 
-void HolderWants::forget(Tokens amount)
+void WaitingRequests::removeAmount(Tokens amount)
 {
     amounts_.erase(amounts_.find(amount));
     sum_ -= amount;
 }
 
-Tokens HolderWants::largest() const { return amounts_.empty() ? Tokens {} : *amounts_.rbegin(); }
+Tokens WaitingRequests::largest() const { return amounts_.empty() ? Tokens {} : *amounts_.rbegin(); }
 
-Tokens HolderWants::smallest() const { return amounts_.empty() ? Tokens {} : *amounts_.begin(); }
+Tokens WaitingRequests::smallest() const { return amounts_.empty() ? Tokens {} : *amounts_.begin(); }
 
-Instant HolderWants::since(RequestKey key, Instant now) const
+Instant WaitingRequests::since(RequestKey key, Instant now) const
 {
-    const auto found = wants_.find(key);
-    return found == wants_.end() ? now : found->second.since;
+    const auto found = requests_.find(key);
+    return found == requests_.end() ? now : found->second.since;
 }
 
-void HolderWants::print(std::ostream& out) const
+void WaitingRequests::print(std::ostream& out) const
 {
-    for (const auto& [key, want] : wants_) {
-        out << "want " << key.high << ':' << key.low << ' ' << want.amount << ' '
-            << want.since.time_since_epoch().count() << ' ' << want.askedAt.time_since_epoch().count() << '\n';
+    for (const auto& [key, request] : requests_) {
+        out << "want " << key.high << ':' << key.low << ' ' << request.amount << ' '
+            << request.since.time_since_epoch().count() << ' ' << request.lastTriedAt.time_since_epoch().count()
+            << '\n';
     }
 }
 
--- a/src/ledger/HolderDemand.h
+++ b/src/ledger/HolderDemand.h
@@ -11,65 +11,76 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief What is asked of one budget here: an exponentially decaying rate and the largest recent request. */
+/** @brief Estimates the token rate of a stream of requests or bills, with exponential decay, and their largest amount.
+ */
 class HolderDemand {
 public:
-    void note(Tokens amount, Instant now);
-    /** Takes back what was noted at `noted`: it was refused, and comes again as another request if it comes at all. */
-    void withdraw(Tokens amount, Instant noted, Instant now);
+    /** @brief Adds an amount to the rate. */
+    void record(Tokens amount, Instant now);
+    /**
+     * @brief Removes an amount recorded earlier: its request was refused, and a retry is recorded as another request.
+     * @param amount Tokens that were recorded.
+     * @param recordedAt When they were recorded.
+     */
+    void withdraw(Tokens amount, Instant recordedAt, Instant now);
 
-    /** @return Tokens per second. */
+    /** @return Recent rate in tokens per second. */
     [[nodiscard]] double rate(Instant now) const;
+    /** @return Largest amount recorded within the last one to two windows. */
     [[nodiscard]] Tokens largest(Instant now) const;
 
     void print(std::ostream& out) const;
 
 private:
-    double weight_ = 0;
-    Instant weighedAt_ {};
-    std::optional<Instant> firstNoted_;
-    /** Largest of the present window and of the one before it. */
+    /** Exponentially decayed sum of the recorded amounts, as of `decayedAt_`. */
+    double decayedSum_ = 0;
+    Instant decayedAt_ {};
+    std::optional<Instant> firstRecordedAt_;
+    /** Largest amounts of the current window and of the previous one. */
     Tokens largest_;
-    Tokens formerLargest_;
+    Tokens previousLargest_;
     Instant windowStart_ {};
 };
 
-/** @brief A request that was told to wait. */
-struct HolderWant {
+/** @brief A request that waits for tokens. */
+struct WaitingRequest {
     Tokens amount;
-    /** When it was first short, and when it was last asked about. */
+    /** When the request was first tried, and when it was last retried. */
     Instant since {};
-    Instant askedAt {};
+    Instant lastTriedAt {};
 };
 
 /**
- * @brief Requests that were told to wait, until they are covered, withdrawn or forgotten.
+ * @brief Requests that wait for tokens, until they are covered, withdrawn or expired.
  *
- * Sums are kept up with each change: an account's flood has a hundred requests waiting, and each of them, and each bill
- * that is read, asks for the sums again.
+ * The sum and the extremes are maintained with each change: under a burst of an account's requests a hundred of them
+ * wait, and each retry and each bill that is read queries the sums again.
  */
-class HolderWants {
+class WaitingRequests {
 public:
-    /** @return Whether this key is new: its demand has not been counted yet. */
+    /**
+     * @brief Adds a request, or notes a retry of the request with this key.
+     * @return Whether the key is new, so that its demand has not been recorded yet.
+     */
     bool add(RequestKey key, Tokens amount, Instant now);
-    /** @return What was removed; nothing when the key does not wait. */
-    std::optional<HolderWant> remove(RequestKey key);
-    /** Forgets requests that nobody has asked about for long and nobody has withdrawn. */
+    /** @return The removed request; nothing when no request with this key was waiting. */
+    std::optional<WaitingRequest> remove(RequestKey key);
+    /** @brief Drops requests that have neither been retried nor withdrawn for a while. */
     void expire(Instant now);
 
-    [[nodiscard]] bool empty() const noexcept { return wants_.empty(); }
+    [[nodiscard]] bool empty() const noexcept { return requests_.empty(); }
     [[nodiscard]] Tokens largest() const;
     [[nodiscard]] Tokens smallest() const;
     [[nodiscard]] Tokens sum() const noexcept { return sum_; }
-    /** @return When this request was first short; `now` when it is not waiting. */
+    /** @return When the request with this key was first tried; `now` when it is not waiting. */
     [[nodiscard]] Instant since(RequestKey key, Instant now) const;
 
     void print(std::ostream& out) const;
 
 private:
-    void forget(Tokens amount);
+    void removeAmount(Tokens amount);
 
-    std::map<RequestKey, HolderWant> wants_;
+    std::map<RequestKey, WaitingRequest> requests_;
     std::multiset<Tokens> amounts_;
     Tokens sum_;
 };
--- a/src/ledger/HolderEffects.cpp
+++ b/src/ledger/HolderEffects.cpp
@@ -9,10 +9,10 @@
 
     using namespace std::chrono_literals;
 
-    /** How long another holder's shortage is answered with what is not needed here. */
-    constexpr Duration shortageMemory = 2s;
-    /** Weight of a new sample of how long draws take: one in four. */
-    constexpr int drawSmoothing = 4;
+    /** How long after a short draw of another holder this holder returns tokens for it. */
+    constexpr Duration shortageLifetime = 2s;
+    /** A new sample of the draw latency has a weight of one in this many: one quarter. */
+    constexpr int drawLatencySmoothing = 4;
 
 } // namespace
 
@@ -25,51 +25,51 @@
     flushRaises(actions);
 }
 
-// Comes first of an item's effects, so it tells who wrote the bill or draw that follows.
+// Landed is the first effect of an item, so its origin is the author of the bill or draw in the effects that follow.
 void HolderImpl::on(const Landed& effect, LedgerActions&) { author_ = effect.origin; }
 
 void HolderImpl::on(const DrawDecided& effect, LedgerActions& actions)
 {
     if (effect.grant.holder != self_)
-        otherDrawDecided(effect, actions);
+        onOtherDrawDecided(effect, actions);
     else if (author_ == self_)
-        ownDrawDecided(effect, actions);
+        onOwnDrawDecided(effect, actions);
 }
 
-// H1: only here does a grant become usable. Spending it as soon as it was asked for would spend money that the fold may
-// have given to somebody else.
-void HolderImpl::ownDrawDecided(const DrawDecided& effect, LedgerActions& actions)
+// H1: a grant becomes usable only here. Before its draw is read back, the fold may have admitted the same tokens to
+// another holder.
+void HolderImpl::onOwnDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
     const auto grant = grants_.find(effect.grant.number);
     if (grant == grants_.end() || grant->second.state() != HolderGrantState::Drawing)
         return;
-    HolderBudgetState& desk = deskOf(effect.budget);
-    drawTook_ += (now_ - desk.drawingSince - drawTook_) / drawSmoothing;
-    desk.drawing.reset();
+    HolderBudgetState& budgetState = budgetStateOf(effect.budget);
+    drawLatency_ += (now_ - budgetState.pendingDrawSince - drawLatency_) / drawLatencySmoothing;
+    budgetState.pendingDraw.reset();
     if (effect.admitted == Tokens {}) {
-        forgetGrant(effect.grant.number);
+        removeGrant(effect.grant.number);
     } else {
-        grant->second.admitted(effect.admitted, effect.witness);
-        desk.drawn += effect.admitted;
-        desk.signals.relieved();
-        desk.rounds.relieved();
+        grant->second.onAdmitted(effect.admitted, effect.witness);
+        budgetState.drawn += effect.admitted;
+        budgetState.shortageSignals.onTokensReceived();
+        budgetState.lenderRotation.onTokensReceived();
         actions.emplace_back(TokensAvailable { effect.budget });
     }
-    work(effect.budget, desk, actions);
+    updateBudget(effect.budget, budgetState, actions);
 }
 
-void HolderImpl::otherDrawDecided(const DrawDecided& effect, LedgerActions& actions)
+void HolderImpl::onOtherDrawDecided(const DrawDecided& effect, LedgerActions& actions)
 {
-    const auto found = desks_.find(effect.budget);
-    if (found == desks_.end())
+    const auto found = budgetStates_.find(effect.budget);
+    if (found == budgetStates_.end())
         return;
-    HolderBudgetState& desk = found->second;
-    desk.saw(effect.grant.holder, now_);
+    HolderBudgetState& budgetState = found->second;
+    budgetState.recordSharer(effect.grant.holder, now_);
     if (effect.shortfall == Tokens {})
         return;
-    desk.othersShort = effect.shortfall;
-    desk.othersShortUntil = now_ + shortageMemory;
-    work(found->first, desk, actions);
+    budgetState.othersShortfall = effect.shortfall;
+    budgetState.othersShortfallUntil = now_ + shortageLifetime;
+    updateBudget(found->first, budgetState, actions);
 }
 
 void HolderImpl::on(const GrantChanged& effect, LedgerActions& actions)
@@ -80,28 +80,28 @@
     if (found == grants_.end())
         return;
     HolderGrant& grant = found->second;
-    HolderBudgetState& desk = deskOf(grant.budget());
+    HolderBudgetState& budgetState = budgetStateOf(grant.budget());
     switch (effect.state) {
     case GrantState::Closed:
-        forgetGrant(effect.grant.number);
+        removeGrant(effect.grant.number);
         return;
     case GrantState::Sealed:
         grant.seal();
         retire("a grant of this incarnation was sealed", actions);
         break;
     case GrantState::Open:
-        grant.witnessRead(effect.witness);
+        grant.onWitnessRead(effect.witness);
         break;
     }
-    work(grant.budget(), desk, actions);
+    updateBudget(grant.budget(), budgetState, actions);
 }
 
 void HolderImpl::on(const BillDecided& effect, LedgerActions& actions)
 {
-    noteBilled(effect);
+    recordBilled(effect);
     if (effect.grant.holder != self_) {
         if (author_ == self_)
-            borrowedBillDecided(effect, actions);
+            onBorrowedBillDecided(effect, actions);
         return;
     }
     const auto found = grants_.find(effect.grant.number);
@@ -109,30 +109,30 @@
         return;
     HolderGrant& grant = found->second;
     if (author_ != self_)
-        grant.borrowerBilled(author_, effect.tokens, effect.counted);
+        grant.onBorrowerBill(author_, effect.tokens, effect.counted);
     else if (!effect.counted)
         grant.refund(effect.tokens);
     else
         return;
     actions.emplace_back(TokensAvailable { grant.budget() });
-    work(grant.budget(), deskOf(grant.budget()), actions);
+    updateBudget(grant.budget(), budgetStateOf(grant.budget()), actions);
 }
 
-// A router that starts reads the bills of minutes within a moment: noted, they would pass for a flood.
-void HolderImpl::noteBilled(const BillDecided& effect)
+// A router that starts reads minutes of bills at once. They are not recorded, since they would look like a burst.
+void HolderImpl::recordBilled(const BillDecided& effect)
 {
     if (!effect.counted || !environment_.caughtUp)
         return;
     const auto grant = fold_->grant(effect.grant);
-    const auto desk = grant ? desks_.find(grant->budget) : desks_.end();
-    if (desk != desks_.end())
-        desk->second.billed.note(effect.tokens, now_);
+    const auto budgetState = grant ? budgetStates_.find(grant->budget) : budgetStates_.end();
+    if (budgetState != budgetStates_.end())
+        budgetState->second.billed.record(effect.tokens, now_);
 }
 
-void HolderImpl::borrowedBillDecided(const BillDecided& effect, LedgerActions& actions)
+void HolderImpl::onBorrowedBillDecided(const BillDecided& effect, LedgerActions& actions)
 {
     for (auto& [number, loan] : loans_) {
-        if (loan.grant() != effect.grant || !loan.billRead(effect.key, effect.tokens, effect.counted))
+        if (loan.grant() != effect.grant || !loan.onBillRead(effect.key, effect.tokens, effect.counted))
             continue;
         if (!effect.counted)
             actions.emplace_back(TokensAvailable { loan.budget() });
@@ -142,26 +142,26 @@
 
 void HolderImpl::on(const BudgetChanged& effect, LedgerActions& actions)
 {
-    const auto found = desks_.find(effect.budget);
-    if (found != desks_.end() && !found->second.wants.empty())
-        work(found->first, found->second, actions);
+    const auto found = budgetStates_.find(effect.budget);
+    if (found != budgetStates_.end() && !found->second.waitingRequests.empty())
+        updateBudget(found->first, found->second, actions);
 }
 
-void HolderImpl::forgetGrant(std::uint32_t number)
+void HolderImpl::removeGrant(std::uint32_t number)
 {
-    std::erase(deskOf(grants_.at(number).budget()).grants, number);
+    std::erase(budgetStateOf(grants_.at(number).budget()).grants, number);
     grants_.erase(number);
 }
 
-// H12: a retired incarnation is refused every draw. It finishes what it has begun and closes its grants; the process
-// goes on under a new incarnation.
+// H12: the ledger refuses every draw of a retired incarnation. The holder finishes its running requests and closes its
+// grants; the process continues under a new incarnation.
 void HolderImpl::retire(std::string reason, LedgerActions& actions)
 {
     if (std::exchange(retired_, true))
         return;
     actions.emplace_back(Retired { std::move(reason) });
-    for (auto& [budget, desk] : desks_)
-        work(budget, desk, actions);
+    for (auto& [budget, budgetState] : budgetStates_)
+        updateBudget(budget, budgetState, actions);
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/HolderGrant.cpp
+++ b/src/ledger/HolderGrant.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-    constexpr Incarnation nobody {};
+    constexpr Incarnation noWitness {};
     constexpr Tokens none {};
 
 } // namespace
 
-// H3: an unwitnessed grant is spendable whole. While a change of witness is in flight the acknowledged ceiling holds
-// whichever of the change and a seal comes first in the log.
+// H3: the whole of an unwitnessed grant is spendable. While a change of witness is in flight, the acknowledged ceiling
+// is safe whether the change or a seal of the old witness comes first in the log.
 Tokens HolderGrant::ceiling() const noexcept
 {
-    if (witness_ == nobody && !changingTo_)
+    if (witness_ == noWitness && !nextWitness_)
         return amount_;
-    return std::min(acknowledged_, amount_);
+    return std::min(acknowledgedCeiling_, amount_);
 }
 
 Tokens HolderGrant::billed() const noexcept
 {
     Tokens sum = ownBilled_;
     for (const auto& [borrower, share] : borrowers_)
-        sum += share.charge() - share.lent;
+        sum += share.committed() - share.lent;
     return sum;
 }
 
@@ -37,21 +37,21 @@
     return sum;
 }
 
-Tokens HolderGrant::charge() const noexcept { return billed() + reserved_ + lent(); }
+Tokens HolderGrant::committed() const noexcept { return billed() + reserved_ + lent(); }
 
-Tokens HolderGrant::free() const noexcept { return isOpen() ? std::max(ceiling() - charge(), none) : none; }
+Tokens HolderGrant::free() const noexcept { return isOpen() ? std::max(ceiling() - committed(), none) : none; }
 
-Tokens HolderGrant::remainder() const noexcept { return isOpen() ? amount_ - charge() : none; }
+Tokens HolderGrant::remainder() const noexcept { return isOpen() ? amount_ - committed() : none; }
 
-// H5, H9: a borrower's bill that lands after the grant was closed would be refused, and its answered request would
-// never be paid for. So the grant is busy until every bill that a borrower spoke of has been read back.
-bool HolderGrant::idle() const noexcept
+// H5, H9: a borrower's bill that lands after the grant was closed is refused, and its answered request is never
+// charged. The grant is therefore not idle until every bill that a borrower reported has been read back.
+bool HolderGrant::isIdle() const noexcept
 {
-    const auto settled = [](const auto& borrower) { return borrower.second.settled(); };
-    return reserved_ == none && std::ranges::all_of(borrowers_, settled);
+    const auto isSettled = [](const auto& borrower) { return borrower.second.isSettled(); };
+    return reserved_ == none && std::ranges::all_of(borrowers_, isSettled);
 }
 
-void HolderGrant::admitted(Tokens amount, Incarnation witness)
+void HolderGrant::onAdmitted(Tokens amount, Incarnation witness)
 {
     assert(state_ == HolderGrantState::Drawing && "a grant is admitted once");
     state_ = HolderGrantState::Open;
@@ -78,10 +78,10 @@
     ownBilled_ -= tokens;
 }
 
-// H4: from here on the part is out of use, whether or not the entry has landed.
-void HolderGrant::giveBack(Tokens amount)
+// H4: the returned tokens are out of use from now on, whether or not the Return entry has landed.
+void HolderGrant::returnTokens(Tokens amount)
 {
-    assert(amount <= remainder() && "only what is not in use is given back");
+    assert(amount <= remainder() && "only what is not in use is returned");
     amount_ -= amount;
 }
 
@@ -91,39 +91,40 @@
         state_ = HolderGrantState::Sealed;
 }
 
-// H6: an acknowledgement of the old witness that arrives after the change was stated would lift the ceiling above the
-// one in the log, and the new witness could seal below what is spent. It is dropped; so is one of any other router.
-void HolderGrant::acknowledged(Incarnation from, Tokens ceiling, bool holderOnly)
+// H6: acknowledgements are ignored while a change of witness is in flight, and from any router but the witness. An
+// acknowledgement of the old witness would lift the ceiling above the one stated in the log, so that the new witness
+// could seal below what is spent.
+void HolderGrant::onCeilingAcknowledged(Incarnation from, Tokens ceiling, bool holderOnly)
 {
-    if (!isOpen() || changingTo_ || from != witness_)
+    if (!isOpen() || nextWitness_ || from != witness_)
         return;
-    acknowledged_ = std::max(acknowledged_, ceiling);
+    acknowledgedCeiling_ = std::max(acknowledgedCeiling_, ceiling);
     holderOnly_ = holderOnly_ || holderOnly;
     raise.refused = false;
-    if (acknowledged_ >= raise.asked && (holderOnly_ || !raise.holderOnly))
-        raise = Raise { raise.asked, raise.holderOnly };
+    if (acknowledgedCeiling_ >= raise.requestedCeiling && (holderOnly_ || !raise.holderOnly))
+        raise = Raise { raise.requestedCeiling, raise.holderOnly };
 }
 
-Tokens HolderGrant::changeWitness(Incarnation to, Tokens headRoom)
+Tokens HolderGrant::changeWitness(Incarnation to, Tokens headroom)
 {
-    assert(isOpen() && !changingTo_ && "one change at a time");
-    if (witness_ == nobody)
-        acknowledged_ = std::min(amount_, charge() + headRoom);
-    changingTo_ = to;
+    assert(isOpen() && !nextWitness_ && "only one change of witness is in flight at a time");
+    if (witness_ == noWitness)
+        acknowledgedCeiling_ = std::min(amount_, committed() + headroom);
+    nextWitness_ = to;
     raise = Raise {};
-    return std::min(acknowledged_, amount_);
+    return std::min(acknowledgedCeiling_, amount_);
 }
 
-void HolderGrant::witnessRead(Incarnation witness)
+void HolderGrant::onWitnessRead(Incarnation witness)
 {
     witness_ = witness;
-    if (changingTo_ != witness)
+    if (nextWitness_ != witness)
         return;
-    changingTo_.reset();
+    nextWitness_.reset();
     raise = Raise {};
 }
 
-// H8: the whole loan stands against the ceiling until the borrower says that it is done.
+// H8: the whole loan counts against the ceiling until the borrower reports it as done.
 void HolderGrant::lend(Incarnation borrower, Tokens amount)
 {
     assert(amount <= free() && "H2, H3: never above the ceiling");
@@ -132,21 +133,22 @@
     share.lent += amount;
 }
 
-void HolderGrant::loanDone(Incarnation borrower, Tokens amount, Tokens billed)
+void HolderGrant::finishLoan(Incarnation borrower, Tokens amount, Tokens billed)
 {
     BorrowerShare& share = borrowers_[borrower];
     --share.openLoans;
     share.lent -= amount;
-    // Bills that did not count were spent again by the borrower, so their sum may pass the loan; the charge never does.
-    share.charged += std::min(billed, amount);
-    share.toRead += billed;
+    // The borrower spends tokens of uncounted bills again, so the sum of its bills may exceed the loan; the charge does
+    // not.
+    share.finishedCharge += std::min(billed, amount);
+    share.announcedBills += billed;
     share.settle();
 }
 
-void HolderGrant::borrowerBilled(Incarnation borrower, Tokens tokens, bool counted)
+void HolderGrant::onBorrowerBill(Incarnation borrower, Tokens tokens, bool counted)
 {
     BorrowerShare& share = borrowers_[borrower];
-    share.read += tokens;
+    share.readBills += tokens;
     if (counted)
         share.counted += tokens;
     share.settle();
@@ -155,14 +157,14 @@
 void HolderGrant::print(std::ostream& out) const
 {
     out << "grant " << id_.number << " of " << budget_.account << '/' << budget_.budget << " state "
-        << static_cast<int>(state_) << " witness " << witness_ << " to " << (changingTo_ ? changingTo_->value() : 0)
-        << (changingTo_ ? "!" : "") << " amount " << amount_ << " acknowledged " << acknowledged_ << " billed "
-        << ownBilled_ << " reserved " << reserved_ << " raise " << raise.asked << ' '
-        << raise.firstAskedAt.time_since_epoch().count() << ' ' << raise.askedAt.time_since_epoch().count() << ' '
-        << raise.attempts << raise.refused << holderOnly_;
+        << static_cast<int>(state_) << " witness " << witness_ << " to " << (nextWitness_ ? nextWitness_->value() : 0)
+        << (nextWitness_ ? "!" : "") << " amount " << amount_ << " acknowledged " << acknowledgedCeiling_ << " billed "
+        << ownBilled_ << " reserved " << reserved_ << " raise " << raise.requestedCeiling << ' '
+        << raise.firstRequestedAt.time_since_epoch().count() << ' ' << raise.requestedAt.time_since_epoch().count()
+        << ' ' << raise.attempts << raise.refused << holderOnly_;
     for (const auto& [borrower, share] : borrowers_) {
-        out << " borrower " << borrower << ' ' << share.openLoans << ' ' << share.lent << ' ' << share.charged << ' '
-            << share.toRead << ' ' << share.read << ' ' << share.counted;
+        out << " borrower " << borrower << ' ' << share.openLoans << ' ' << share.lent << ' ' << share.finishedCharge
+            << ' ' << share.announcedBills << ' ' << share.readBills << ' ' << share.counted;
     }
     out << '\n';
 }
--- a/src/ledger/HolderImpl.cpp
+++ b/src/ledger/HolderImpl.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-    /** A lender that left so many LoanDone unanswered is gone; what it counts as lent is lost only to itself. */
-    constexpr std::uint32_t attemptsBeforeLeaving = 6;
+    /** Attempts to send LoanDone after which the lender counts as gone. Only the lender's own grant stays charged then.
+     */
+    constexpr std::uint32_t maxLoanDoneAttempts = 6;
 
 } // namespace
 
@@ -28,10 +29,10 @@
 
 bool HolderImpl::drained() const
 {
-    const auto over = [](const auto& loan) {
-        return loan.second.state() == LoanState::Ending && loan.second.attempts() >= attemptsBeforeLeaving;
+    const auto isAbandoned = [](const auto& loan) {
+        return loan.second.state() == LoanState::Ending && loan.second.attempts() >= maxLoanDoneAttempts;
     };
-    return grants_.empty() && std::ranges::all_of(loans_, over);
+    return grants_.empty() && std::ranges::all_of(loans_, isAbandoned);
 }
 
 std::vector<HoldingView> HolderImpl::holdings() const
@@ -55,7 +56,7 @@
         << author_ << " last " << lastGrant_ << ' ' << lastLoan_ << " log " << environment_.logReachable
         << environment_.stopping << " witness " << environment_.witness.value_or(Incarnation {}) << " since "
         << witnessSince_.time_since_epoch().count() << " silent " << silentWitness_ << " until "
-        << silentUntil_.time_since_epoch().count() << " draws take " << drawTook_.count() << " caught up "
+        << silentUntil_.time_since_epoch().count() << " draws take " << drawLatency_.count() << " caught up "
         << environment_.caughtUp;
     for (const Incarnation lender : environment_.lenders)
         out << " lender " << lender;
@@ -64,9 +65,9 @@
         grant.print(out);
     for (const auto& [number, loan] : loans_)
         loan.print(out);
-    lending_.print(out);
-    for (const auto& [budget, desk] : desks_)
-        desk.print(out);
+    loanAnswers_.print(out);
+    for (const auto& [budget, budgetState] : budgetStates_)
+        budgetState.print(out);
     return out.str();
 }
 
--- a/src/ledger/HolderImpl.h
+++ b/src/ledger/HolderImpl.h
@@ -18,10 +18,11 @@
 namespace swiftlift::ledger::internal {
 
 /**
- * @brief The state of a Holder and all it does.
+ * @brief State and implementation of a Holder; see there for the public functions.
  *
- * Requests, effects, ceilings, loans and the work of a tick stand in one source file each (HolderRequests.cpp,
- * HolderEffects.cpp, HolderCeilings.cpp, LoanBorrowing.cpp, LoanLending.cpp, HolderBudgetUpdate.cpp).
+ * Implemented in one source file per concern: requests in HolderRequests.cpp, effects of the fold in HolderEffects.cpp,
+ * ceilings in HolderCeilings.cpp, loans in LoanBorrowing.cpp and LoanLending.cpp, ticks and the upkeep of a budget in
+ * HolderBudgetUpdate.cpp.
  */
 class HolderImpl {
 public:
@@ -40,7 +41,7 @@
     [[nodiscard]] bool isHolderOnly(const Reservation& reservation) const;
     [[nodiscard]] bool borrowsFrom(const GrantId& grant) const;
 
-    // The log.
+    // Effects of the fold.
     void onEffect(const Effect& effect, Instant now, LedgerActions& actions);
 
     // Ceilings.
@@ -67,23 +68,27 @@
 private:
     using Grants = std::map<std::uint32_t, HolderGrant>;
     using Loans = std::map<std::uint64_t, BorrowedLoan>;
-    using Desks = std::map<BudgetRef, HolderBudgetState>;
+    using BudgetStates = std::map<BudgetRef, HolderBudgetState>;
 
     // Requests.
-    [[nodiscard]] HolderBudgetState& deskOf(const BudgetRef& budget);
-    [[nodiscard]] std::optional<Reservation> take(
-        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount);
-    [[nodiscard]] Shortage shortage(
-        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const;
-    [[nodiscard]] bool mayStillCome(
-        const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const;
-    /** @return How long after its emission a draw is waited for. */
-    [[nodiscard]] Duration drawPatience() const;
+    [[nodiscard]] HolderBudgetState& budgetStateOf(const BudgetRef& budget);
+    /** @return The reservation; nothing when no loan and no grant covers the amount. */
+    [[nodiscard]] std::optional<Reservation> tryReserve(
+        const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount);
+    /** @return Why the request is short, whether it may still be covered, and when to retry it. */
+    [[nodiscard]] Shortage describeShortage(
+        const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount) const;
+    /** @return Whether a draw, raise, loan or return in flight may still cover the request. */
+    [[nodiscard]] bool mayStillBeCovered(
+        const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount) const;
+    /** @return How long after the emission of a draw requests wait for it. */
+    [[nodiscard]] Duration drawTimeout() const;
+    /** @return Whether the budget has fewer unbilled tokens than `amount`, as far as the log has been read. */
     [[nodiscard]] bool isExhausted(const BudgetRef& budget, Tokens amount) const;
     void settleLoan(const Reservation& reservation, Tokens actual, LedgerActions& actions);
     void settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions);
 
-    // The log.
+    // Effects of the fold.
     void on(const Landed& effect, LedgerActions& actions);
     void on(const DrawDecided& effect, LedgerActions& actions);
     void on(const GrantChanged& effect, LedgerActions& actions);
@@ -91,78 +96,101 @@
     void on(const BudgetChanged& effect, LedgerActions& actions);
     void on(const ClaimDecided&, LedgerActions&) { }
     void on(const Refused&, LedgerActions&) { }
-    void ownDrawDecided(const DrawDecided& effect, LedgerActions& actions);
-    void otherDrawDecided(const DrawDecided& effect, LedgerActions& actions);
-    void noteBilled(const BillDecided& effect);
-    void borrowedBillDecided(const BillDecided& effect, LedgerActions& actions);
-    void forgetGrant(std::uint32_t number);
+    void onOwnDrawDecided(const DrawDecided& effect, LedgerActions& actions);
+    void onOtherDrawDecided(const DrawDecided& effect, LedgerActions& actions);
+    /** @brief Adds a counted bill of any router to the budget's fleet-wide rate. */
+    void recordBilled(const BillDecided& effect);
+    void onBorrowedBillDecided(const BillDecided& effect, LedgerActions& actions);
+    void removeGrant(std::uint32_t number);
     void retire(std::string reason, LedgerActions& actions);
 
     // Ceilings.
-    void raiseCeilings(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    /** @return Whether the log has been out of reach for long enough to go on without it. */
-    [[nodiscard]] bool inOutage() const;
-    /** @return Whether a bill on the grant could not be secured now: its witness can't be asked, and may close it. */
-    [[nodiscard]] bool insecure(const HolderGrant& grant) const;
-    /** @return Whether a bill on the loan would count, as far as can be told now. */
-    [[nodiscard]] bool secure(const BorrowedLoan& loan) const;
-    void replaceAlone(const HolderBudgetState& desk, LedgerActions& actions);
-    void raiseCeiling(HolderGrant& grant, Tokens headRoom, Tokens waiting);
-    /** @return Whom to name as witness now; nobody when there is none, or it doesn't answer. */
+    void raiseCeilings(const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions);
+    /** @return Whether the log has been unreachable for so long that the holder works without it. */
+    [[nodiscard]] bool isInOutage() const;
+    /**
+     * @return Whether the grant's witness may close it before a bill emitted now has landed: neither the witness nor
+     * the log is reachable.
+     */
+    [[nodiscard]] bool isBillAtRisk(const HolderGrant& grant) const;
+    /** @return Whether a bill emitted on the loan now will count, as far as this holder can determine. */
+    [[nodiscard]] bool isBillSafe(const BorrowedLoan& loan) const;
+    /** @brief Closes or returns holder-only grants once the log is reachable, so that draws replace them. */
+    void replaceHolderOnlyGrants(const HolderBudgetState& budgetState, LedgerActions& actions);
+    void raiseCeiling(HolderGrant& grant, Tokens headroom, Tokens waiting);
+    /** @return Incarnation to name as witness now; a default one when there is none or it does not answer. */
     [[nodiscard]] Incarnation witnessToName() const;
-    /** Notes a witness that doesn't answer. */
-    void noteSilence(const HolderGrant& grant);
-    void moveWitness(HolderGrant& grant, Tokens headRoom, LedgerActions& actions);
-    [[nodiscard]] bool witnessSilent(const HolderGrant& grant, Duration patience) const;
-    [[nodiscard]] bool raisePending(const HolderBudgetState& desk, Tokens amount) const;
+    /** @brief Stops naming the grant's witness for a while if it does not answer. */
+    void recordSilentWitness(const HolderGrant& grant);
+    /** @brief Names another witness for the grant when its witness does not answer or another one is preferred. */
+    void updateWitness(HolderGrant& grant, Tokens headroom, LedgerActions& actions);
+    /** @return Whether a raise of the grant has been unanswered for longer than `timeout`. */
+    [[nodiscard]] bool isWitnessSilent(const HolderGrant& grant, Duration timeout) const;
+    /** @return Whether a raise or a change of witness in flight may make `amount` spendable. */
+    [[nodiscard]] bool isRaisePending(const HolderBudgetState& budgetState, Tokens amount) const;
+    /** @brief Emits the collected raises, one message per witness. */
     void flushRaises(LedgerActions& actions);
 
     // Lending.
+    /** @return The answer; nothing while the witness has to acknowledge a ceiling first, so that the borrower retries.
+     */
     [[nodiscard]] std::optional<LoanAnswer> decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount);
-    [[nodiscard]] HolderGrant* grantToLend(const HolderBudgetState& desk);
+    /** @return The grant with the largest remainder that may be lent now; null when there is none. */
+    [[nodiscard]] HolderGrant* grantToLend(const HolderBudgetState& budgetState);
 
     // Borrowing.
-    void borrow(
-        const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void moveLoans(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void moveLoan(
-        BorrowedLoan& loan, const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void borrow(const BudgetRef& budget, HolderBudgetState& budgetState, const BudgetSituation& situation,
+        LedgerActions& actions);
+    /** @brief Retries, gives up or ends each loan of the budget as needed. */
+    void advanceLoans(HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions);
+    void advanceLoan(BorrowedLoan& loan, const HolderBudgetState& budgetState, const BudgetSituation& situation,
+        LedgerActions& actions);
     void endLoan(BorrowedLoan& loan, LedgerActions& actions);
-    void forgetLoan(std::uint64_t number);
-    [[nodiscard]] bool loanAsked(const HolderBudgetState& desk) const;
-    /** @return Whether an ask is so fresh that its answer is waited for before another lender is asked. */
-    [[nodiscard]] bool askedJustNow(const HolderBudgetState& desk) const;
-
-    // Work that a tick or any change of one budget brings up.
-    [[nodiscard]] BudgetSituation situationOf(const BudgetRef& budget, const HolderBudgetState& desk) const;
-    void countFree(const HolderBudgetState& desk, BudgetSituation& situation) const;
-    void work(const BudgetRef& budget, HolderBudgetState& desk, LedgerActions& actions);
-    void draw(
-        const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    /** @return Whether the remainders went back, and will cover what waits. */
-    [[nodiscard]] bool gather(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void giveBackSurplus(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
-    void giveBack(const HolderBudgetState& desk, Tokens amount, LedgerActions& actions);
-    void closeIdle(const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions);
+    void removeLoan(std::uint64_t number);
+    /** @return Whether requests should wait for a lender's answer. */
+    [[nodiscard]] bool isLoanAnswerPending(const HolderBudgetState& budgetState) const;
+    /** @return Whether a loan request is so recent that no other lender is asked before its answer. */
+    [[nodiscard]] bool hasRecentLoanRequest(const HolderBudgetState& budgetState) const;
+
+    // Upkeep of one budget, after each tick and each change that concerns the budget.
+    [[nodiscard]] BudgetSituation situationOf(const BudgetRef& budget, const HolderBudgetState& budgetState) const;
+    /** @brief Sets `free` and `largestFree` of the situation. */
+    void addFreeTokens(const HolderBudgetState& budgetState, BudgetSituation& situation) const;
+    /** @brief Returns, closes, draws, borrows and raises ceilings as the policy decides. */
+    void updateBudget(const BudgetRef& budget, HolderBudgetState& budgetState, LedgerActions& actions);
+    void draw(const BudgetRef& budget, HolderBudgetState& budgetState, const BudgetSituation& situation,
+        LedgerActions& actions);
+    /**
+     * @brief Returns the remainders of several grants if a draw of their sum would cover the largest waiting request.
+     * @return Whether they were returned.
+     */
+    [[nodiscard]] bool consolidateRemainders(
+        const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions);
+    void returnSurplus(HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions);
+    void returnTokens(const HolderBudgetState& budgetState, Tokens amount, LedgerActions& actions);
+    void closeIdleGrants(
+        const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions);
+    /** @brief Emits CloseGrant; the grant has to be idle. */
     void close(HolderGrant& grant, LedgerActions& actions);
-    [[nodiscard]] bool leaving() const { return retired_ || environment_.stopping; }
-    [[nodiscard]] Tokens grantsRemainder(const HolderBudgetState& desk) const;
+    /** @return Whether the holder only winds up: it was retired, or the process is stopping. */
+    [[nodiscard]] bool isLeaving() const { return retired_ || environment_.stopping; }
+    [[nodiscard]] Tokens grantsRemainder(const HolderBudgetState& budgetState) const;
 
     Incarnation self_;
     std::shared_ptr<const HoldingPolicy> policy_;
     const Fold* fold_;
     Instant now_ {};
     HolderEnvironment environment_;
-    /** A witness that did not answer, and until when it is not named again. */
+    /** Latest witness that did not answer, and the time until which it is not named again. */
     Incarnation silentWitness_;
     Instant silentUntil_ {};
-    /** How long draws take of late, from emission until they are read back. */
-    Duration drawTook_ = std::chrono::milliseconds(100);
-    /** Since when the log has been out of reach. */
-    std::optional<Instant> logLostAt_;
-    /** Since when there have been requests. */
-    std::optional<Instant> busySince_;
-    /** Since when the surroundings have named this witness. */
+    /** Smoothed time from the emission of a draw until it is read back. */
+    Duration drawLatency_ = std::chrono::milliseconds(100);
+    /** Time at which the log became unreachable; empty while it is reachable. */
+    std::optional<Instant> logUnreachableSince_;
+    /** Time of the first request for any budget. */
+    std::optional<Instant> firstRequestAt_;
+    /** Time at which the environment last named another witness. */
     Instant witnessSince_ {};
     bool retired_ = false;
     /** Author of the item whose effects are being read. */
@@ -171,9 +199,9 @@
     std::uint64_t lastLoan_ = 0;
     Grants grants_;
     Loans loans_;
-    LoanAnswerHistory lending_;
-    Desks desks_;
-    /** Raises to be sent at the end of the present call, by witness. */
+    LoanAnswerHistory loanAnswers_;
+    BudgetStates budgetStates_;
+    /** Raises that the current call sends at its end, by witness. */
     std::map<Incarnation, std::vector<Ceiling>> raises_;
 };
 
--- a/src/ledger/HolderRequests.cpp
+++ b/src/ledger/HolderRequests.cpp
@@ -9,28 +9,35 @@
 
     using namespace std::chrono_literals;
 
-    /** How long a request waits for what others may give back, or for a draw, before it is told no. */
-    constexpr Duration patience = 2s;
+    /** How long a request waits for a draw or for returns of other holders before it is refused. */
+    constexpr Duration maxTokenWait = 2s;
+    /** Retry delay while a draw, raise, loan or return is in flight, and for a retired incarnation. */
     constexpr Duration retrySoon = 100ms;
-    /** A draw that takes this many times as long as they did of late is not waited for. */
-    constexpr int overdueFactor = 2;
-    /** An append that gathers company, and its way back through the log, on a quiet day. */
-    constexpr Duration leastDrawPatience = 200ms;
-    /** Twice the shortest objective of a stream: later, most callers would have their answer late anyway. */
-    constexpr Duration mostDrawPatience = 400ms;
+    /** A draw is overdue after this multiple of the recent draw latency. */
+    constexpr int drawTimeoutFactor = 2;
+    /** Lower bound of the draw timeout: latency of a batched append and of reading it back, under light load. */
+    constexpr Duration minDrawTimeout = 200ms;
+    /**
+     * Upper bound of the draw timeout: twice the shortest latency objective of a stream. After that, most answers would
+     * be late anyway.
+     */
+    constexpr Duration maxDrawTimeout = 400ms;
+    /** Retry delay when other grants hold the budget's tokens. */
     constexpr Duration retryElsewhere = 1s;
+    /** Retry delay while the log is unreachable. */
     constexpr Duration retryOutage = 2s;
+    /** Retry delay when the budget has too few unbilled tokens. */
     constexpr Duration retryExhausted = 10s;
 
 } // namespace
 
-HolderBudgetState& HolderImpl::deskOf(const BudgetRef& budget)
+HolderBudgetState& HolderImpl::budgetStateOf(const BudgetRef& budget)
 {
-    const auto [found, isNew] = desks_.try_emplace(budget);
+    const auto [found, isNew] = budgetStates_.try_emplace(budget);
     if (isNew) {
         for (const GrantView& grant : fold_->openGrants()) {
             if (grant.budget == budget && grant.id.holder != self_)
-                found->second.saw(grant.id.holder, now_);
+                found->second.recordSharer(grant.id.holder, now_);
         }
     }
     return found->second;
@@ -39,76 +46,76 @@
 std::variant<Reservation, Shortage> HolderImpl::reserve(
     const BudgetRef& budget, RequestKey key, Tokens amount, Instant now, LedgerActions& actions)
 {
-    assert(amount > Tokens {} && "a request costs something");
+    assert(amount > Tokens {} && "a request reserves more than zero tokens");
     now_ = now;
-    busySince_ = busySince_.value_or(now);
-    HolderBudgetState& desk = deskOf(budget);
-    const bool isNew = desk.wants.add(key, amount, now);
+    firstRequestAt_ = firstRequestAt_.value_or(now);
+    HolderBudgetState& budgetState = budgetStateOf(budget);
+    const bool isNew = budgetState.waitingRequests.add(key, amount, now);
     if (isNew)
-        desk.demand.note(amount, now);
-    std::optional<Reservation> reservation = take(budget, desk, key, amount);
+        budgetState.demand.record(amount, now);
+    std::optional<Reservation> reservation = tryReserve(budget, budgetState, key, amount);
     if (reservation)
-        desk.wants.remove(key);
-    // What a repeat asks for is known since its first time, and each tick and effect works on it.
+        budgetState.waitingRequests.remove(key);
+    // A retry adds no demand, and ticks and effects already process the waiting request.
     if (isNew || reservation) {
-        work(budget, desk, actions);
+        updateBudget(budget, budgetState, actions);
         flushRaises(actions);
     }
     if (reservation)
         return *reservation;
-    return shortage(budget, desk, key, amount);
+    return describeShortage(budget, budgetState, key, amount);
 }
 
-// What goes wrong otherwise: a caller's tries, each refused, count as demand each time, and what they asked for goes on
-// waiting here. The router then draws for many times what its callers use. One notices by one holder's grants of half
-// of what is left, one after the other, of which little is ever billed: all of it is lost with the holder.
+// Refused requests are withdrawn: otherwise each refused try of a caller would count as demand and stay among the
+// waiting requests, and the router would draw many times what its callers use. Symptom: one holder draws half of the
+// remaining budget again and again, hardly any of it is billed, and all of it is lost if the holder fails.
 void HolderImpl::withdraw(const BudgetRef& budget, RequestKey key, Instant now)
 {
-    const auto desk = desks_.find(budget);
-    if (desk == desks_.end())
+    const auto budgetState = budgetStates_.find(budget);
+    if (budgetState == budgetStates_.end())
         return;
-    if (const auto want = desk->second.wants.remove(key))
-        desk->second.demand.withdraw(want->amount, want->since, now);
+    if (const auto request = budgetState->second.waitingRequests.remove(key))
+        budgetState->second.demand.withdraw(request->amount, request->since, now);
 }
 
 Tokens HolderImpl::spendable(const BudgetRef& budget) const
 {
-    Tokens most;
-    const auto found = desks_.find(budget);
-    if (retired_ || found == desks_.end())
-        return most;
+    Tokens largest;
+    const auto found = budgetStates_.find(budget);
+    if (retired_ || found == budgetStates_.end())
+        return largest;
     for (const std::uint64_t number : found->second.loans) {
-        if (const BorrowedLoan& loan = loans_.at(number); secure(loan))
-            most = std::max(most, loan.free());
+        if (const BorrowedLoan& loan = loans_.at(number); isBillSafe(loan))
+            largest = std::max(largest, loan.free());
     }
     for (const std::uint32_t number : found->second.grants) {
-        if (const HolderGrant& grant = grants_.at(number); !insecure(grant))
-            most = std::max(most, grant.free());
+        if (const HolderGrant& grant = grants_.at(number); !isBillAtRisk(grant))
+            largest = std::max(largest, grant.free());
     }
-    return most;
+    return largest;
 }
 
-bool HolderImpl::secure(const BorrowedLoan& loan) const
+bool HolderImpl::isBillSafe(const BorrowedLoan& loan) const
 {
     return loan.holderOnly() || environment_.logReachable || !policy_->witnessesClose();
 }
 
-// Loans first, so that they are soon done; then own grants, oldest first, so that few stay open.
-std::optional<Reservation> HolderImpl::take(
-    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount)
+// Uses loans first, so that they are returned early; then the holder's grants, oldest first, so that few stay open.
+std::optional<Reservation> HolderImpl::tryReserve(
+    const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount)
 {
     if (retired_)
         return {};
-    for (const std::uint64_t number : desk.loans) {
+    for (const std::uint64_t number : budgetState.loans) {
         BorrowedLoan& loan = loans_.at(number);
-        if (loan.free() < amount || !secure(loan))
+        if (loan.free() < amount || !isBillSafe(loan))
             continue;
         loan.reserve(amount, now_);
         return Reservation { key, budget, loan.grant(), amount, number };
     }
-    for (const std::uint32_t number : desk.grants) {
+    for (const std::uint32_t number : budgetState.grants) {
         HolderGrant& grant = grants_.at(number);
-        if (grant.free() < amount || insecure(grant))
+        if (grant.free() < amount || isBillAtRisk(grant))
             continue;
         grant.reserve(amount);
         return Reservation { key, budget, grant.id(), amount };
@@ -116,11 +123,11 @@
     return {};
 }
 
-Shortage HolderImpl::shortage(
-    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const
+Shortage HolderImpl::describeShortage(
+    const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount) const
 {
     Shortage shortage;
-    shortage.pending = mayStillCome(budget, desk, key, amount);
+    shortage.pending = mayStillBeCovered(budget, budgetState, key, amount);
     if (isExhausted(budget, amount))
         shortage.reason = ShortReason::BudgetExhausted;
     if (shortage.pending || retired_)
@@ -132,31 +139,32 @@
     return shortage;
 }
 
-bool HolderImpl::mayStillCome(
-    const BudgetRef& budget, const HolderBudgetState& desk, RequestKey key, Tokens amount) const
+bool HolderImpl::mayStillBeCovered(
+    const BudgetRef& budget, const HolderBudgetState& budgetState, RequestKey key, Tokens amount) const
 {
-    // What the ledger has not, no draw, raise or loan can bring: it is refused at once.
+    // No draw, raise or loan can cover more than the budget has left, so the request is refused at once.
     if (retired_ || (environment_.logReachable && isExhausted(budget, amount)))
         return false;
-    if (loanAsked(desk) || raisePending(desk, amount))
+    if (isLoanAnswerPending(budgetState) || isRaisePending(budgetState, amount))
         return true;
-    if (!environment_.logReachable || now_ - desk.wants.since(key, now_) > patience)
+    if (!environment_.logReachable || now_ - budgetState.waitingRequests.since(key, now_) > maxTokenWait)
         return false;
-    const bool drawCovers = desk.drawing && desk.drawingWanted >= amount && now_ - desk.drawingSince <= drawPatience();
-    // Whoever can give back does so as soon as it reads the signal. A second of waiting for it, and a caller with
-    // little time is held to its deadline for nothing.
-    // Where the last signal brought nothing, the money is where nobody can give it back, and only the first few callers
-    // need find out by waiting: 1,096 refusals of two days came 400 ms late for it, with nothing left unheld.
-    const bool othersWereTold = desk.signals.awaited(now_, policy_->returnPatience());
-    return drawCovers || othersWereTold;
+    const bool drawCovers = budgetState.pendingDraw && budgetState.pendingDrawAmount >= amount
+        && now_ - budgetState.pendingDrawSince <= drawTimeout();
+    // Other holders return tokens as soon as they read the shortage signal. A longer wait would hold callers until
+    // their deadlines for nothing. If the previous signal brought nothing, the tokens are at holders that can't return
+    // them, and only the first few callers wait. Without this, 1,096 refusals within two days came 400 ms late, while
+    // no tokens were left outside grants.
+    const bool returnsPending = budgetState.shortageSignals.isAnswerPending(now_, policy_->maxReturnWait());
+    return drawCovers || returnsPending;
 }
 
-// What goes wrong otherwise: while the log is slow, or behind with bills, each request waits for a draw as long as its
-// caller may be held, and is refused then, its time used up. One notices by refusals that all come after the same time.
-// Whoever comes while a draw is overdue is told at once, with when to come back.
-Duration HolderImpl::drawPatience() const
+// Requests that arrive while a draw is overdue are refused at once, with a time to retry. Otherwise, while the log is
+// slow or has a backlog of bills, each request would wait for a draw as long as allowed and be refused with its time
+// used up. Symptom: all refusals come after the same wait.
+Duration HolderImpl::drawTimeout() const
 {
-    return std::clamp(drawTook_ * overdueFactor, leastDrawPatience, mostDrawPatience);
+    return std::clamp(drawLatency_ * drawTimeoutFactor, minDrawTimeout, maxDrawTimeout);
 }
 
 bool HolderImpl::isExhausted(const BudgetRef& budget, Tokens amount) const
@@ -165,9 +173,12 @@
     return !view || view->bought - view->billed < amount;
 }
 
-void HolderImpl::preallocate(const BudgetRef& budget) { deskOf(budget).preallocated = true; }
+void HolderImpl::preallocate(const BudgetRef& budget) { budgetStateOf(budget).preallocated = true; }
 
-void HolderImpl::setWeighting(const BudgetRef& budget, Weighting weighting) { deskOf(budget).weighting = weighting; }
+void HolderImpl::setWeighting(const BudgetRef& budget, Weighting weighting)
+{
+    budgetStateOf(budget).weighting = weighting;
+}
 
 bool HolderImpl::isHolderOnly(const Reservation& reservation) const
 {
@@ -193,21 +204,21 @@
         settleGrant(reservation, actual, actions);
     if (actual < reservation.amount)
         actions.emplace_back(TokensAvailable { reservation.budget });
-    if (const auto desk = desks_.find(reservation.budget); desk != desks_.end())
-        work(desk->first, desk->second, actions);
+    if (const auto budgetState = budgetStates_.find(reservation.budget); budgetState != budgetStates_.end())
+        updateBudget(budgetState->first, budgetState->second, actions);
     flushRaises(actions);
 }
 
-// H7: the bill is emitted in the same call that stops counting the reservation, so it lands before any later return or
-// close of the grant.
+// H7: the bill is emitted in the call that ends the reservation, so it lands before any later return or close of the
+// grant.
 void HolderImpl::settleGrant(const Reservation& reservation, Tokens actual, LedgerActions& actions)
 {
     const auto found = grants_.find(reservation.grant.number);
     assert(reservation.grant.holder == self_ && "a reservation names the lender's grant or an own one");
     if (actual > Tokens {})
         actions.emplace_back(AppendEntry { Bill { reservation.key, reservation.grant, actual } });
-    // The witness has closed the grant while this process slept: the ledger refuses the bill, and the caller is told
-    // so.
+    // The witness closed the grant while this process was suspended. The ledger will refuse the bill, and the caller
+    // gets that result.
     if (found == grants_.end())
         return;
     found->second.settle(reservation.amount, actual);
--- a/src/ledger/LenderRotation.cpp
+++ b/src/ledger/LenderRotation.cpp
@@ -8,43 +8,44 @@
 
     using namespace std::chrono_literals;
 
-    /** Before lenders that all had nothing are asked again. */
-    constexpr Duration pause = 1s;
+    /** Pause after a round in which no lender had anything to lend. */
+    constexpr Duration roundPause = 1s;
 
 } // namespace
 
-// What goes wrong when the nearest is always asked first: a VM that gets most of an account's requests empties its
-// neighbours by halves and is refused, while those farther away hold what nobody asks them for.
-std::size_t LenderRotation::ask(std::size_t lenders, Instant now)
+// Goes through all lenders in turn. If the nearest were always asked first, a VM that gets most of an account's
+// requests would halve what its neighbours hold again and again and refuse requests, while VMs farther away hold unused
+// tokens.
+std::size_t LenderRotation::nextLender(std::size_t lenders, Instant now)
 {
-    assert(lenders > 0 && "somebody is there to be asked");
+    assert(lenders > 0 && "there is at least one lender to be asked");
     const std::size_t lender = position_++ % lenders;
-    if (asksInVain_ == 0)
-        formerInVain_ = over_;
-    if (++asksInVain_ >= lenders) {
-        asksInVain_ = 0;
-        over_ = true;
-        next_ = now + pause;
+    if (failedAttempts_ == 0)
+        previousRoundFailed_ = roundFailed_;
+    if (++failedAttempts_ >= lenders) {
+        failedAttempts_ = 0;
+        roundFailed_ = true;
+        notBefore_ = now + roundPause;
     }
     return lender;
 }
 
-void LenderRotation::lent() noexcept
+void LenderRotation::onUsefulLoan() noexcept
 {
-    asksInVain_ = 0;
-    relieved();
+    failedAttempts_ = 0;
+    onTokensReceived();
 }
 
-void LenderRotation::relieved() noexcept
+void LenderRotation::onTokensReceived() noexcept
 {
-    over_ = false;
-    formerInVain_ = false;
+    roundFailed_ = false;
+    previousRoundFailed_ = false;
 }
 
 void LenderRotation::print(std::ostream& out) const
 {
-    out << (over_ ? " round over" : "") << (formerInVain_ ? " lent in vain" : "") << " loans " << position_ << ' '
-        << asksInVain_ << '@' << next_.time_since_epoch().count();
+    out << (roundFailed_ ? " round over" : "") << (previousRoundFailed_ ? " lent in vain" : "") << " loans "
+        << position_ << ' ' << failedAttempts_ << '@' << notBefore_.time_since_epoch().count();
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/LenderRotation.h
+++ b/src/ledger/LenderRotation.h
@@ -8,37 +8,38 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief Whom a borrower asks next: all lenders in turn, with a pause after a round that brought nothing. */
+/** @brief Chooses lenders in turn, with a pause after a round in which none of them lent anything useful. */
 class LenderRotation {
 public:
-    /** @return Whether the next lender may be asked now. */
-    [[nodiscard]] bool due(Instant now) const noexcept { return now >= next_; }
+    /** @return Whether a loan may be requested now. */
+    [[nodiscard]] bool isDue(Instant now) const noexcept { return now >= notBefore_; }
 
     /**
-     * @param lenders How many there are; at least one.
-     * @return Index of the lender that is asked now.
+     * @brief Counts one more loan request.
+     * @param lenders Number of lenders; at least one.
+     * @return Index of the lender to send the request to.
      */
-    [[nodiscard]] std::size_t ask(std::size_t lenders, Instant now);
+    [[nodiscard]] std::size_t nextLender(std::size_t lenders, Instant now);
 
-    /** A loan came that fits a request. */
-    void lent() noexcept;
+    /** @brief A lender has lent enough for a waiting request. */
+    void onUsefulLoan() noexcept;
 
-    /** Money came, be it by a draw or a loan. */
-    void relieved() noexcept;
+    /** @brief A draw or a loan has brought tokens. */
+    void onTokensReceived() noexcept;
 
-    /** @return Whether the round before the present one brought nothing. */
-    [[nodiscard]] bool formerInVain() const noexcept { return formerInVain_; }
+    /** @return Whether the previous round of requests brought nothing. */
+    [[nodiscard]] bool previousRoundFailed() const noexcept { return previousRoundFailed_; }
 
     void print(std::ostream& out) const;
 
 private:
-    Instant next_ {};
+    Instant notBefore_ {};
     std::uint32_t position_ = 0;
-    /** Asks since the last loan of use. */
-    std::uint32_t asksInVain_ = 0;
-    /** All lenders were asked, and no money came since. */
-    bool over_ = false;
-    bool formerInVain_ = false;
+    /** Loan requests since the last useful loan. */
+    std::uint32_t failedAttempts_ = 0;
+    /** All lenders were asked in a round, and no tokens have arrived since. */
+    bool roundFailed_ = false;
+    bool previousRoundFailed_ = false;
 };
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/LoanAnswerHistory.h
+++ b/src/ledger/LoanAnswerHistory.h
@@ -11,27 +11,30 @@
 
 namespace swiftlift::ledger::internal {
 
-/** What a lender answered to one ask. */
+/** @brief A lender's answer to one loan request. */
 struct LoanAnswer {
     GrantId grant;
-    /** Zero: denied. */
+    /** Tokens lent; zero when the loan was denied. */
     Tokens amount;
-    /** Of a denied one: what could have been had. */
+    /** Tokens that could still be lent. */
     Tokens free;
+    /** Whether the borrower has reported the loan as done. */
     bool done = false;
-    /** Of a given one: nobody but this holder can close the grant. */
+    /** Whether the lent grant is holder-only. */
     bool holderOnly = false;
 };
 
 /**
- * @brief What a lender answered to whom, so that a repeat gets the same answer (H11 of docs/HOLDINGS.md).
+ * @brief A lender's answers by borrower and loan, so that a repeated request gets the same answer (H11 in
+ * docs/HOLDINGS.md).
  *
- * Finished loans are forgotten in the order of their numbers; a number below the forgotten ones counts as finished. Of
- * many borrowers, one without open loans is forgotten: a late ask of it is answered anew, and it says LoanDone.
+ * Bounded: finished loans are dropped in the order of their numbers, and a dropped number counts as finished. When
+ * there are too many borrowers, one without open loans is dropped; a late request of such a borrower is answered like a
+ * new one, and the borrower then ends that loan with LoanDone.
  */
 class LoanAnswerHistory {
 public:
-    /** @return The answer given before; nothing when this is the first ask. */
+    /** @return The recorded answer; nothing when the loan was not requested before. */
     [[nodiscard]] std::optional<LoanAnswer> find(Incarnation borrower, std::uint64_t loan) const;
     void record(Incarnation borrower, std::uint64_t loan, LoanAnswer answer);
 
@@ -40,12 +43,14 @@
 private:
     struct Borrower {
         std::map<std::uint64_t, LoanAnswer> answers;
-        /** Numbers below this one that are not in `answers` are finished. */
-        std::uint64_t forgottenBelow = 0;
+        /** Loans with smaller numbers that are not in `answers` are finished. */
+        std::uint64_t finishedBelow = 0;
     };
 
-    void forget(Borrower& borrower);
-    void forgetBorrower(Incarnation except);
+    /** @brief Drops finished loans above the limit per borrower. */
+    void pruneAnswers(Borrower& borrower);
+    /** @brief Drops one borrower without open loans, other than `except`. */
+    void pruneBorrowers(Incarnation except);
 
     std::map<Incarnation, Borrower> borrowers_;
 };
--- a/src/ledger/LoanBorrowing.cpp
+++ b/src/ledger/LoanBorrowing.cpp
@@ -9,103 +9,106 @@
     using namespace std::chrono_literals;
 
     constexpr Tokens none {};
-    /** An ask without an answer is given up after this long. */
-    constexpr Duration askPatience = 500ms;
-    /** The next lender is asked beside one that has not answered for this long: a hundred round trips of a region, and
-     * still a tenth of what callers wait at most when money is short. */
-    constexpr Duration slowLender = 60ms;
-    /** A request waits this long for a lender's answer: two rounds of asking, each repeated once. */
-    constexpr Duration answerPatience = 200ms;
-    /** A loan that was not used for this long goes back. */
-    constexpr Duration idleLoan = 3s;
-    /** A draw that has been in flight for this long is not waited for alone. */
-    constexpr Duration slowDraw = 300ms;
+    /** Time without an answer after which a loan request is abandoned. */
+    constexpr Duration loanRequestTimeout = 500ms;
+    /**
+     * Time without an answer after which another lender is asked as well: a hundred round trips within a region, and a
+     * tenth of the longest time that callers wait when tokens are short.
+     */
+    constexpr Duration slowLenderTimeout = 60ms;
+    /** How long requests wait for a lender's answer: two rounds of loan requests, each with one retry. */
+    constexpr Duration lenderAnswerTimeout = 200ms;
+    /** Time without use after which a loan is returned. */
+    constexpr Duration idleLoanTimeout = 3s;
+    /** Time in flight after which a draw no longer prevents loan requests. */
+    constexpr Duration slowDrawThreshold = 300ms;
 
 } // namespace
 
 void HolderImpl::borrow(
-    const BudgetRef& budget, HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+    const BudgetRef& budget, HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    if (desk.wants.empty())
+    if (budgetState.waitingRequests.empty())
         return;
-    const bool slow = desk.drawing && now_ - desk.drawingSince > slowDraw;
-    const bool logWillDo = situation.logReachable && situation.available >= situation.need && !slow;
-    if (retired_ || logWillDo || situation.largestFree >= situation.need || askedJustNow(desk))
+    const bool isDrawSlow = budgetState.pendingDraw && now_ - budgetState.pendingDrawSince > slowDrawThreshold;
+    const bool drawWillCover = situation.logReachable && situation.available >= situation.need && !isDrawSlow;
+    if (retired_ || drawWillCover || situation.largestFree >= situation.need || hasRecentLoanRequest(budgetState))
         return;
     const Tokens size = policy_->loanSize(situation);
-    if (size == none || environment_.lenders.empty() || !desk.rounds.due(now_))
+    if (size == none || environment_.lenders.empty() || !budgetState.lenderRotation.isDue(now_))
         return;
     const std::uint64_t number = ++lastLoan_;
-    desk.loans.push_back(number);
-    const Incarnation lender = environment_.lenders.at(desk.rounds.ask(environment_.lenders.size(), now_));
+    budgetState.loans.push_back(number);
+    const Incarnation lender
+        = environment_.lenders.at(budgetState.lenderRotation.nextLender(environment_.lenders.size(), now_));
     BorrowedLoan& loan = loans_.try_emplace(number, number, lender, budget, size, now_).first->second;
-    if (loan.repeatDue(now_))
+    if (loan.takeDueAttempt(now_))
         actions.emplace_back(SendLoanAsk { loan.lender(), number, budget, size });
 }
 
-void HolderImpl::moveLoans(HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::advanceLoans(HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    for (const std::uint64_t number : desk.loans)
-        moveLoan(loans_.at(number), desk, situation, actions);
+    for (const std::uint64_t number : budgetState.loans)
+        advanceLoan(loans_.at(number), budgetState, situation, actions);
 }
 
-void HolderImpl::moveLoan(
-    BorrowedLoan& loan, const HolderBudgetState& desk, const BudgetSituation& situation, LedgerActions& actions)
+void HolderImpl::advanceLoan(
+    BorrowedLoan& loan, const HolderBudgetState& budgetState, const BudgetSituation& situation, LedgerActions& actions)
 {
-    const Duration age = now_ - loan.since();
+    const Duration age = now_ - loan.lastUsedAt();
     switch (loan.state()) {
-    case LoanState::Asked:
-        if (age > askPatience || retired_)
+    case LoanState::Requested:
+        if (age > loanRequestTimeout || retired_)
             endLoan(loan, actions);
-        else if (loan.repeatDue(now_))
-            actions.emplace_back(SendLoanAsk { loan.lender(), loan.number(), loan.budget(), loan.asked() });
+        else if (loan.takeDueAttempt(now_))
+            actions.emplace_back(SendLoanAsk { loan.lender(), loan.number(), loan.budget(), loan.requestedAmount() });
         return;
     case LoanState::Held: {
         const bool spent = loan.free() == none;
-        const bool useless = desk.wants.empty() && loan.free() < situation.largest;
-        const bool unused = age > idleLoan || (leaving() && desk.wants.empty());
+        const bool useless = budgetState.waitingRequests.empty() && loan.free() < situation.largest;
+        const bool unused = age > idleLoanTimeout || (isLeaving() && budgetState.waitingRequests.empty());
         if (loan.reserved() == none && (spent || useless || unused || retired_))
             endLoan(loan, actions);
         return;
     }
     case LoanState::Ending:
-        if (loan.repeatDue(now_))
-            actions.emplace_back(SendLoanDone { loan.lender(), loan.number(), loan.emitted() });
+        if (loan.takeDueAttempt(now_))
+            actions.emplace_back(SendLoanDone { loan.lender(), loan.number(), loan.emittedBills() });
         return;
     }
 }
 
-// H10: from here on nothing of it is spent. An ask that was given up ends in the same way, since its answer may have
-// been lost: otherwise the lender would count it as lent for good.
+// H10: nothing of the loan is spent from now on. An abandoned request ends in the same way, since its answer may have
+// been lost: otherwise the lender would count the tokens as lent forever.
 void HolderImpl::endLoan(BorrowedLoan& loan, LedgerActions& actions)
 {
     loan.end(now_);
-    if (loan.repeatDue(now_))
-        actions.emplace_back(SendLoanDone { loan.lender(), loan.number(), loan.emitted() });
+    if (loan.takeDueAttempt(now_))
+        actions.emplace_back(SendLoanDone { loan.lender(), loan.number(), loan.emittedBills() });
 }
 
-void HolderImpl::forgetLoan(std::uint64_t number)
+void HolderImpl::removeLoan(std::uint64_t number)
 {
-    std::erase(deskOf(loans_.at(number).budget()).loans, number);
+    std::erase(budgetStateOf(loans_.at(number).budget()).loans, number);
     loans_.erase(number);
 }
 
-bool HolderImpl::loanAsked(const HolderBudgetState& desk) const
+bool HolderImpl::isLoanAnswerPending(const HolderBudgetState& budgetState) const
 {
-    // Lenders are asked again every second. Where the last round brought nothing, callers don't wait for this one.
-    if (desk.rounds.formerInVain())
+    // Lenders are asked again every second. After a round that brought nothing, callers don't wait for the next one.
+    if (budgetState.lenderRotation.previousRoundFailed())
         return false;
-    return std::ranges::any_of(desk.loans, [&](std::uint64_t number) {
+    return std::ranges::any_of(budgetState.loans, [&](std::uint64_t number) {
         const BorrowedLoan& loan = loans_.at(number);
-        return loan.state() == LoanState::Asked && now_ - loan.since() < answerPatience;
+        return loan.state() == LoanState::Requested && now_ - loan.lastUsedAt() < lenderAnswerTimeout;
     });
 }
 
-bool HolderImpl::askedJustNow(const HolderBudgetState& desk) const
+bool HolderImpl::hasRecentLoanRequest(const HolderBudgetState& budgetState) const
 {
-    return std::ranges::any_of(desk.loans, [&](std::uint64_t number) {
+    return std::ranges::any_of(budgetState.loans, [&](std::uint64_t number) {
         const BorrowedLoan& loan = loans_.at(number);
-        return loan.state() == LoanState::Asked && now_ - loan.since() < slowLender;
+        return loan.state() == LoanState::Requested && now_ - loan.lastUsedAt() < slowLenderTimeout;
     });
 }
 
@@ -123,30 +126,30 @@
     if (borrowed.lender() != from || grant.holder != from || borrowed.state() == LoanState::Held)
         return;
     if (borrowed.state() == LoanState::Ending) {
-        actions.emplace_back(SendLoanDone { from, loan, borrowed.emitted() });
+        actions.emplace_back(SendLoanDone { from, loan, borrowed.emittedBills() });
         return;
     }
-    borrowed.given(grant, amount, holderOnly, now);
-    HolderBudgetState& desk = deskOf(borrowed.budget());
-    if (amount < desk.wants.smallest()) {
+    borrowed.onGranted(grant, amount, holderOnly, now);
+    HolderBudgetState& budgetState = budgetStateOf(borrowed.budget());
+    if (amount < budgetState.waitingRequests.smallest()) {
         endLoan(borrowed, actions);
     } else {
-        desk.rounds.lent();
-        desk.signals.relieved();
+        budgetState.lenderRotation.onUsefulLoan();
+        budgetState.shortageSignals.onTokensReceived();
         actions.emplace_back(TokensAvailable { borrowed.budget() });
     }
-    borrow(borrowed.budget(), desk, situationOf(borrowed.budget(), desk), actions);
+    borrow(borrowed.budget(), budgetState, situationOf(borrowed.budget(), budgetState), actions);
 }
 
 void HolderImpl::onLoanDenied(Incarnation from, std::uint64_t loan, Tokens, Instant now, LedgerActions& actions)
 {
     now_ = now;
     const auto found = loans_.find(loan);
-    if (found == loans_.end() || found->second.lender() != from || found->second.state() != LoanState::Asked)
+    if (found == loans_.end() || found->second.lender() != from || found->second.state() != LoanState::Requested)
         return;
     const BudgetRef budget = found->second.budget();
-    forgetLoan(loan);
-    work(budget, deskOf(budget), actions);
+    removeLoan(loan);
+    updateBudget(budget, budgetStateOf(budget), actions);
     flushRaises(actions);
 }
 
@@ -155,7 +158,7 @@
     now_ = now;
     const auto found = loans_.find(loan);
     if (found != loans_.end() && found->second.lender() == from && found->second.state() == LoanState::Ending)
-        forgetLoan(loan);
+        removeLoan(loan);
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/LoanLending.cpp
+++ b/src/ledger/LoanLending.cpp
@@ -9,26 +9,29 @@
     using namespace std::chrono_literals;
 
     constexpr Tokens none {};
-    /** Of the largest recent request, less than this part fits hardly any: sizes of prompts spread over two orders of
-     * magnitude, with a mean of an eighth of the largest. */
-    constexpr std::int64_t smallestPart = 16;
-    /** After this long without the witness's answer, an ask is denied rather than left to be repeated. */
-    constexpr Duration witnessPatience = 500ms;
+    /**
+     * A loan below the largest recent request divided by this covers hardly any request: sizes of prompts spread over
+     * two orders of magnitude, with a mean of an eighth of the largest.
+     */
+    constexpr std::int64_t minLoanDivisor = 16;
+    /** Time without the witness's answer after which a loan request is decided without its acknowledgement. */
+    constexpr Duration witnessTimeout = 500ms;
 
 } // namespace
 
-// H11: the first answer stands. A second loan for a repeated ask would be lent for good, as its borrower knows of one.
+// H11: a repeated request gets the first answer. A second loan would stay lent forever, since the borrower has a record
+// of only one.
 void HolderImpl::onLoanAsk(
     Incarnation from, std::uint64_t loan, const BudgetRef& budget, Tokens amount, Instant now, LedgerActions& actions)
 {
     now_ = now;
-    std::optional<LoanAnswer> answer = lending_.find(from, loan);
+    std::optional<LoanAnswer> answer = loanAnswers_.find(from, loan);
     if (!answer) {
         answer = decideLoan(from, budget, amount);
         flushRaises(actions);
         if (!answer)
             return;
-        lending_.record(from, loan, *answer);
+        loanAnswers_.record(from, loan, *answer);
     }
     if (answer->amount > none && !answer->done)
         actions.emplace_back(SendLoanGiven { from, loan, budget, answer->grant, answer->amount, answer->holderOnly });
@@ -36,42 +39,42 @@
         actions.emplace_back(SendLoanDenied { from, loan, budget, answer->free });
 }
 
-/** Nothing: not decided yet, since the witness has to acknowledge first; the borrower asks again. */
 std::optional<LoanAnswer> HolderImpl::decideLoan(Incarnation borrower, const BudgetRef& budget, Tokens amount)
 {
-    const auto found = desks_.find(budget);
-    if (leaving() || found == desks_.end() || amount <= none)
+    const auto found = budgetStates_.find(budget);
+    if (isLeaving() || found == budgetStates_.end() || amount <= none)
         return LoanAnswer {};
-    const HolderBudgetState& desk = found->second;
-    const BudgetSituation situation = situationOf(budget, desk);
+    const HolderBudgetState& budgetState = found->second;
+    const BudgetSituation situation = situationOf(budget, budgetState);
     const Tokens lendable = std::max(policy_->lendable(situation), none);
-    HolderGrant* const grant = grantToLend(desk);
+    HolderGrant* const grant = grantToLend(budgetState);
     const Tokens offered = grant ? std::min({ amount, lendable, grant->remainder() }) : none;
-    // What goes wrong otherwise: at the end of an outage every lender gives the few hundred tokens that it has left; no
-    // request fits them, the borrower gives them back and asks the next one, 90 times a second.
-    const bool useful = offered >= Tokens { std::min(amount, situation.largest).value() / smallestPart };
+    // A loan that fits no request is denied. Otherwise, at the end of an outage, every lender would lend the few
+    // hundred tokens that it has left, and the borrower would return them and ask the next lender, 90 times a second.
+    const bool useful = offered >= Tokens { std::min(amount, situation.largest).value() / minLoanDivisor };
     if (offered == none || !useful)
         return LoanAnswer { {}, {}, lendable };
-    if (grant->free() < offered && !grant->changingWitness() && !witnessSilent(*grant, witnessPatience)) {
-        raiseCeiling(*grant, policy_->headRoom(situation) + offered, offered);
+    if (grant->free() < offered && !grant->isChangingWitness() && !isWitnessSilent(*grant, witnessTimeout)) {
+        raiseCeiling(*grant, policy_->headroom(situation) + offered, offered);
         return {};
     }
     const Tokens given = std::min(offered, grant->free());
     if (given == none)
         return LoanAnswer {};
-    // A borrower's bills are not in this author's order: a witness named later could close the grant before they land.
+    // A borrower's bills are not ordered with this holder's entries: a witness named later could close the grant before
+    // they land.
     if (grant->witness() == Incarnation {})
-        grant->stayAlone();
+        grant->makeHolderOnly();
     grant->lend(borrower, given);
     return LoanAnswer { grant->id(), given, lendable - given, false, grant->holderOnly() };
 }
 
-HolderGrant* HolderImpl::grantToLend(const HolderBudgetState& desk)
+HolderGrant* HolderImpl::grantToLend(const HolderBudgetState& budgetState)
 {
     HolderGrant* best = nullptr;
-    for (const std::uint32_t number : desk.grants) {
+    for (const std::uint32_t number : budgetState.grants) {
         HolderGrant& grant = grants_.at(number);
-        // In an outage the borrower's bills can't land, so only money that nobody else can close is lent.
+        // In an outage the borrower's bills can't land, so only grants that no witness can close are lent from.
         const bool closable = policy_->witnessesClose() && grant.witness() != Incarnation {} && !grant.holderOnly();
         if (!environment_.logReachable && closable)
             continue;
@@ -81,15 +84,15 @@
     return best;
 }
 
-// A LoanDone for an ask that never came is kept, so that the ask is denied if it comes late: its borrower has given it
-// up, and nobody else would ever give the tokens back.
+// A LoanDone is recorded even if its loan request has not arrived, so that the request is denied if it arrives late:
+// its borrower has abandoned it and would never return the tokens.
 void HolderImpl::onLoanDone(Incarnation from, std::uint64_t loan, Tokens billed, Instant now, LedgerActions& actions)
 {
     now_ = now;
-    LoanAnswer answer = lending_.find(from, loan).value_or(LoanAnswer {});
+    LoanAnswer answer = loanAnswers_.find(from, loan).value_or(LoanAnswer {});
     const bool wasOpen = answer.amount > none && !answer.done;
     answer.done = true;
-    lending_.record(from, loan, answer);
+    loanAnswers_.record(from, loan, answer);
     actions.emplace_back(SendLoanDoneAcked { from, loan });
     if (!wasOpen)
         return;
@@ -97,9 +100,9 @@
     if (found == grants_.end())
         return;
     HolderGrant& grant = found->second;
-    grant.loanDone(from, answer.amount, billed);
+    grant.finishLoan(from, answer.amount, billed);
     actions.emplace_back(TokensAvailable { grant.budget() });
-    work(grant.budget(), deskOf(grant.budget()), actions);
+    updateBudget(grant.budget(), budgetStateOf(grant.budget()), actions);
     flushRaises(actions);
 }
 
--- a/src/ledger/PolicyAppendPerRequest.h
+++ b/src/ledger/PolicyAppendPerRequest.h
@@ -4,10 +4,10 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief Baseline: every request draws its own amount and gives the rest back at once. */
+/** @brief Baseline policy: draws the amount of each request separately and returns the rest as soon as it is billed. */
 class AppendPerRequestPolicy final : public HoldingPolicy {
 public:
-    /** Requests that wait while a draw is in flight are drawn for together, as one draw is in flight at a time. */
+    /** Only one draw is in flight at a time, so requests that wait meanwhile share the next draw. */
     [[nodiscard]] std::optional<DrawDecision> draw(const BudgetSituation& situation) const override
     {
         if (situation.waiting <= situation.free && situation.need <= situation.largestFree)
@@ -15,7 +15,7 @@
         return DrawDecision { situation.waiting, situation.smallestNeed };
     }
 
-    [[nodiscard]] Tokens headRoom(const BudgetSituation& situation) const override { return situation.free; }
+    [[nodiscard]] Tokens headroom(const BudgetSituation& situation) const override { return situation.free; }
     [[nodiscard]] Tokens surplus(const BudgetSituation& situation) const override { return situation.free; }
     [[nodiscard]] Tokens loanSize(const BudgetSituation&) const override { return {}; }
     [[nodiscard]] Tokens lendable(const BudgetSituation&) const override { return {}; }
--- a/src/ledger/PolicyDemandGrants.cpp
+++ b/src/ledger/PolicyDemandGrants.cpp
@@ -10,36 +10,48 @@
     using namespace std::chrono_literals;
 
     constexpr Tokens none {};
-    constexpr double headRoomSeconds = 2;
+    /** Headroom of a ceiling, in seconds of demand. */
+    constexpr double headroomSeconds = 2;
+    /** Size of a loan beyond the waiting requests, in seconds of demand. */
     constexpr double loanSeconds = 2;
-    /** A draw ahead of need takes at most this part of each sharer's equal share. */
+    /** A draw ahead of need takes at most one part in this many of an equal share per holder of what is available. */
     constexpr std::int64_t shareDivisor = 2;
     /**
-     * As above, of all that is left, where the watermarks are set: these bound what one router holds. With a share for
-     * each router, the one VM of 81 that gets an eighth of the fleet's requests would draw a 160th of the budget at a
-     * time, and hold a second's worth when the log is lost 5 s after traffic begins.
+     * With configured watermarks, a draw ahead of need takes at most one part in this many of all that is available,
+     * since the watermarks already bound what one router holds. With an equal share per router, the one VM of 81 that
+     * gets an eighth of the fleet's requests would draw a 160th of the budget at a time, and hold one second of its
+     * demand if the log became unreachable 5 s after traffic begins.
      */
-    constexpr std::int64_t tightShareDivisor = 2;
-    /** Surplus goes back from this multiple of the high watermark on, so that draws and returns don't alternate. */
+    constexpr std::int64_t configuredShareDivisor = 2;
+    /** Surplus is returned above this multiple of the high watermark, so that draws and returns don't alternate. */
     constexpr std::int64_t surplusFactor = 2;
-    /** As above, in percent, where the watermarks are set: what is held above them is lost with its holder, and a fleet
-     * that loses all its routers at once loses all of it. */
-    constexpr std::int64_t tightSurplusPercent = 130;
-    constexpr Duration tightSurplusPause = 1s;
+    /**
+     * With configured watermarks, surplus is returned above this percentage of the high watermark. Tokens held above it
+     * are lost if their holder fails, and all of them if all routers of a fleet fail at once.
+     */
+    constexpr std::int64_t configuredSurplusPercent = 130;
+    /** Shortest time between two returns of surplus, with configured watermarks. */
+    constexpr Duration configuredSurplusPause = 1s;
+    /** Shortest time between two returns of surplus. */
     constexpr Duration surplusPause = 5s;
+    /** Shortest time between two returns for another holder's shortage. */
     constexpr Duration shortagePause = 500ms;
-    /** A signal that money is short takes so long to be read, answered with a return, and read back. */
-    constexpr Duration tightReturnPatience = 400ms;
+    /** Time until a shortage signal is read, answered with a return, and the return is read back. */
+    constexpr Duration configuredMaxReturnWait = 400ms;
     constexpr std::int64_t wholePercent = 100;
-    /** Of the time that a budget still lasts, a router holds at most this share in advance, where the watermarks are
-     * set. Held is what a fleet without power loses, and what one place keeps from another: of the last 14 s of a
-     * budget 13 s were lost so, now 7 s. */
-    constexpr double tightLastingShare = 0.5;
-    /** As above, by weighting: what is held lasts through an outage of the log, and what is not is there for those who
-     * are left when a failure domain is gone. */
-    constexpr double lastingShare = 0.8;
-    /** As above, of a high watermark that has shrunk: the low one stands no higher. */
-    constexpr double lowShare = 0.75;
+    /**
+     * With configured watermarks, a router holds tokens for at most this share of the time that the budget still lasts.
+     * A power failure of the fleet loses what is held, and held tokens can't be spent elsewhere: of the last 14 s of a
+     * budget, 13 s were lost without this bound, and 7 s with it.
+     */
+    constexpr double configuredRemainingTimeShare = 0.5;
+    /**
+     * The share of the remaining time without configured watermarks: held tokens last through an outage of the log, and
+     * the rest remains for the surviving routers when a failure domain fails.
+     */
+    constexpr double remainingTimeShare = 0.8;
+    /** Without configured watermarks, the low watermark is at most this share of the lowered high watermark. */
+    constexpr double lowWatermarkShare = 0.75;
 
     Watermarks watermarksOf(Weighting weighting)
     {
@@ -71,10 +83,10 @@
     return settings_.watermarks.value_or(watermarksOf(situation.weighting.value_or(settings_.weighting)));
 }
 
-// A cut from the log may come before demand has been seen, and then nothing can be drawn any more. One notices by
-// refusals at routers that live while the budget is untouched. So each router holds its part of a known budget from the
-// start on, and what it turns out not to need moves to the others as they run short.
-Tokens DemandGrantsPolicy::stock(const BudgetSituation& situation) const
+// The log may become unreachable before there was any demand, and then nothing can be drawn: live routers would refuse
+// requests while the budget is untouched. So each router holds its part of a known budget from the start, and what it
+// does not need goes to other routers when they run short.
+Tokens DemandGrantsPolicy::preallocation(const BudgetSituation& situation) const
 {
     if (!situation.preallocated)
         return none;
@@ -82,46 +94,47 @@
     return Tokens { situation.bought.value() / wholePercent * settings_.preallocationPercent / routers };
 }
 
-// Bills say what a fleet spends seconds after its traffic began. Until then a router without a stock would hold minutes
-// of its first requests' demand, and the first few of them the whole of a budget that lasts for seconds: so it takes
-// the others to be as busy as itself.
-double DemandGrantsPolicy::fleetRateOf(const BudgetSituation& situation) const
+// The bills show the fleet's rate only seconds after traffic began. Until then, a router without a preallocation would
+// hold minutes of the demand of its first requests, and a few routers would hold the whole of a budget that lasts for
+// seconds. So the router assumes that the other routers are as busy as itself.
+double DemandGrantsPolicy::estimateFleetRate(const BudgetSituation& situation) const
 {
     if (settings_.watermarks)
         return situation.fleetRate;
     return std::max(situation.fleetRate, situation.demand * std::max(situation.routers, 1U));
 }
 
-// What goes wrong otherwise: as a budget comes to its end, the same seconds of demand are an ever larger part of what
-// is left of it, until all of it is held somewhere. One notices by refusals with `held` = `bought` while a tenth and
-// more was never billed: lost with routers that died, or at routers whose callers have gone elsewhere.
-double DemandGrantsPolicy::shrunk(const BudgetSituation& situation) const
+// Near the end of a budget, the same seconds of demand are an ever larger part of what is left, until all of it is held
+// by some router. Symptom without this scale: refusals with `held` = `bought` although a tenth or more of the budget
+// was never billed, because its holders failed or their callers went to other routers.
+double DemandGrantsPolicy::watermarkScale(const BudgetSituation& situation) const
 {
-    const double fleetRate = fleetRateOf(situation);
+    const double fleetRate = estimateFleetRate(situation);
     if (fleetRate <= 0 || situation.demand <= 0)
         return 1;
     const double unheld = static_cast<double>(situation.available.value()) / fleetRate;
     const double heldHere = static_cast<double>(situation.free.value()) / situation.demand;
-    const double share = settings_.watermarks ? tightLastingShare : lastingShare;
+    const double share = settings_.watermarks ? configuredRemainingTimeShare : remainingTimeShare;
     return std::min((unheld + heldHere) * share / watermarks(situation).highSeconds, 1.0);
 }
 
-Tokens DemandGrantsPolicy::lowDemand(const BudgetSituation& situation) const
+Tokens DemandGrantsPolicy::lowDemandWatermark(const BudgetSituation& situation) const
 {
     const auto [lowSeconds, highSeconds] = watermarks(situation);
     if (settings_.watermarks)
-        return tokensOf(situation.demand, lowSeconds * shrunk(situation));
-    return tokensOf(situation.demand, std::min(lowSeconds, highSeconds * shrunk(situation) * lowShare));
+        return tokensOf(situation.demand, lowSeconds * watermarkScale(situation));
+    return tokensOf(
+        situation.demand, std::min(lowSeconds, highSeconds * watermarkScale(situation) * lowWatermarkShare));
 }
 
-Tokens DemandGrantsPolicy::low(const BudgetSituation& situation) const
+Tokens DemandGrantsPolicy::lowWatermark(const BudgetSituation& situation) const
 {
-    return std::max(lowDemand(situation), situation.largest);
+    return std::max(lowDemandWatermark(situation), situation.largest);
 }
 
-Tokens DemandGrantsPolicy::high(const BudgetSituation& situation) const
+Tokens DemandGrantsPolicy::highWatermark(const BudgetSituation& situation) const
 {
-    const Tokens ofDemand = tokensOf(situation.demand, watermarks(situation).highSeconds * shrunk(situation));
+    const Tokens ofDemand = tokensOf(situation.demand, watermarks(situation).highSeconds * watermarkScale(situation));
     return settings_.watermarks ? std::max(ofDemand, situation.largest) : ofDemand + situation.largest;
 }
 
@@ -129,51 +142,57 @@
 {
     const bool isShort
         = situation.need > none && (situation.largestFree < situation.need || situation.free < situation.waiting);
-    const std::int64_t parts = settings_.watermarks ? tightShareDivisor : shareDivisor * situation.sharers;
+    const std::int64_t parts = settings_.watermarks ? configuredShareDivisor : shareDivisor * situation.sharers;
     const Tokens share { situation.available.value() / parts };
-    // What a silent witness holds up is held all the same: drawn for once more, it is half of what is left each time.
-    const Tokens held = std::max(situation.free, situation.remainder);
-    const Tokens ahead = situation.cautious ? none : std::min(high(situation) + situation.waiting - held, share);
+    // Tokens above the ceiling of a silent witness are held as well. Drawing for them again would take half of what is
+    // left each time.
+    const Tokens heldTokens = std::max(situation.free, situation.remainder);
+    const Tokens ahead = situation.drawOnlyForWaiting
+        ? none
+        : std::min(highWatermark(situation) + situation.waiting - heldTokens, share);
     if (isShort) {
-        const Tokens inHand = std::max(situation.need, situation.waiting - situation.free);
-        return DrawDecision { std::max(inHand, ahead), situation.smallestNeed };
+        const Tokens needed = std::max(situation.need, situation.waiting - situation.free);
+        return DrawDecision { std::max(needed, ahead), situation.smallestNeed };
     }
-    const Tokens useful = std::max(situation.largest, Tokens { 1 });
-    if (situation.drawn == none && stock(situation) > none && !situation.cautious)
-        return DrawDecision { std::max(stock(situation), ahead), Tokens { 1 } };
-    if (situation.free >= low(situation) || ahead < useful)
+    const Tokens minUseful = std::max(situation.largest, Tokens { 1 });
+    if (situation.drawn == none && preallocation(situation) > none && !situation.drawOnlyForWaiting)
+        return DrawDecision { std::max(preallocation(situation), ahead), Tokens { 1 } };
+    if (situation.free >= lowWatermark(situation) || ahead < minUseful)
         return {};
-    return DrawDecision { ahead, useful };
+    return DrawDecision { ahead, minUseful };
 }
 
-Tokens DemandGrantsPolicy::headRoom(const BudgetSituation& situation) const
+Tokens DemandGrantsPolicy::headroom(const BudgetSituation& situation) const
 {
-    // While the log is unreachable no seal can land, so a high ceiling costs nothing and a low one refuses.
+    // While the log is unreachable no seal can land, so a high ceiling costs nothing, and a low one causes refusals.
     if (!situation.logReachable)
         return situation.remainder;
-    return tokensOf(situation.demand, headRoomSeconds) + std::max(situation.largest, situation.waiting);
+    return tokensOf(situation.demand, headroomSeconds) + std::max(situation.largest, situation.waiting);
 }
 
-Duration DemandGrantsPolicy::returnPatience() const
+Duration DemandGrantsPolicy::maxReturnWait() const
 {
-    return settings_.watermarks ? tightReturnPatience : HoldingPolicy::returnPatience();
+    return settings_.watermarks ? configuredMaxReturnWait : HoldingPolicy::maxReturnWait();
 }
 
 Tokens DemandGrantsPolicy::surplus(const BudgetSituation& situation) const
 {
-    if (situation.othersShort > none) {
+    if (situation.othersShortfall > none) {
         if (situation.sinceReturn < shortagePause)
             return none;
-        // Routers that start together all draw their stock at once, and some are short since those before them knew of
-        // few others yet. What nobody waits for is no reason to give a stock back: the first cut would find it gone.
-        return std::clamp(situation.free - stock(situation), none, situation.othersShort);
+        // Routers that start together all draw their preallocation at once, and some draws are short because earlier
+        // ones knew of few other routers. No request waits for these, so the preallocation is kept: otherwise it would
+        // be missing when the log first becomes unreachable.
+        return std::clamp(situation.free - preallocation(situation), none, situation.othersShortfall);
     }
-    const bool tight = settings_.watermarks.has_value();
-    const std::int64_t percent = tight ? tightSurplusPercent : surplusFactor * wholePercent;
-    const Tokens most = std::max(Tokens { high(situation).value() * percent / wholePercent }, stock(situation));
-    if (situation.free <= most || situation.sinceReturn < (tight ? tightSurplusPause : surplusPause))
+    const bool hasConfiguredWatermarks = settings_.watermarks.has_value();
+    const std::int64_t percent = hasConfiguredWatermarks ? configuredSurplusPercent : surplusFactor * wholePercent;
+    const Tokens maxHeld
+        = std::max(Tokens { highWatermark(situation).value() * percent / wholePercent }, preallocation(situation));
+    if (situation.free <= maxHeld
+        || situation.sinceReturn < (hasConfiguredWatermarks ? configuredSurplusPause : surplusPause))
         return none;
-    return situation.free - std::max(high(situation), stock(situation));
+    return situation.free - std::max(highWatermark(situation), preallocation(situation));
 }
 
 Tokens DemandGrantsPolicy::loanSize(const BudgetSituation& situation) const
@@ -183,14 +202,14 @@
 
 Tokens DemandGrantsPolicy::lendable(const BudgetSituation& situation) const
 {
-    // What goes wrong when a lender keeps room for its largest request of late: of 81 routers that hold a few requests'
-    // worth each, nobody lends more than half of that; the borrower's loans fit hardly any of its requests, and it asks
-    // on and on. One notices by thousands of `loan` lines a second, of less each than most requests need, and by
-    // refusals beside them while 87% of the budget is unspent.
-    const Tokens unneeded = situation.free - lowDemand(situation);
+    // The lender keeps no room for its largest recent request. If it did, none of 81 routers that hold a few requests'
+    // worth each would lend more than half of that; the loans would cover hardly any request of the borrower, which
+    // would ask again and again. Symptom: thousands of `loan` log lines per second, each of less than most requests
+    // need, and refusals while 87% of the budget is unspent.
+    const Tokens spare = situation.free - lowDemandWatermark(situation);
     if (situation.logReachable)
-        return std::max(unneeded, none);
-    return std::max(unneeded, Tokens { situation.free.value() / 2 });
+        return std::max(spare, none);
+    return std::max(spare, Tokens { situation.free.value() / 2 });
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/PolicyDemandGrants.h
+++ b/src/ledger/PolicyDemandGrants.h
@@ -4,33 +4,40 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief Grants sized by demand, between a low and a high watermark, with loans from peers when the log is no help. */
+/**
+ * @brief Policy that sizes grants by demand, between a low and a high watermark, and borrows from peers when draws
+ * don't help.
+ */
 class DemandGrantsPolicy final : public HoldingPolicy {
 public:
     explicit DemandGrantsPolicy(const PolicySettings& settings);
 
     [[nodiscard]] std::optional<DrawDecision> draw(const BudgetSituation& situation) const override;
-    [[nodiscard]] Tokens headRoom(const BudgetSituation& situation) const override;
+    [[nodiscard]] Tokens headroom(const BudgetSituation& situation) const override;
     [[nodiscard]] Tokens surplus(const BudgetSituation& situation) const override;
-    [[nodiscard]] Tokens fragment(const BudgetSituation& situation) const override { return situation.largest; }
+    [[nodiscard]] Tokens minUsefulRemainder(const BudgetSituation& situation) const override
+    {
+        return situation.largest;
+    }
     [[nodiscard]] Tokens loanSize(const BudgetSituation& situation) const override;
     [[nodiscard]] Tokens lendable(const BudgetSituation& situation) const override;
-    [[nodiscard]] Duration returnPatience() const override;
+    [[nodiscard]] Duration maxReturnWait() const override;
     [[nodiscard]] bool witnessed() const override { return true; }
     [[nodiscard]] bool witnessesClose() const override { return settings_.witnessesClose; }
 
 private:
-    /** @return What part of its watermarks a router may hold, from 0 to 1, by how long the budget still lasts. */
-    [[nodiscard]] double shrunk(const BudgetSituation& situation) const;
-    /** @return Tokens per second that all routers together spend of the budget, as far as can be told; zero: unknown.
-     */
-    [[nodiscard]] double fleetRateOf(const BudgetSituation& situation) const;
+    /** @return Factor from 0 to 1 that lowers the watermarks when the budget will soon be used up. */
+    [[nodiscard]] double watermarkScale(const BudgetSituation& situation) const;
+    /** @return Estimate of the tokens per second that all routers together spend of the budget; zero: unknown. */
+    [[nodiscard]] double estimateFleetRate(const BudgetSituation& situation) const;
     [[nodiscard]] Watermarks watermarks(const BudgetSituation& situation) const;
-    [[nodiscard]] Tokens stock(const BudgetSituation& situation) const;
-    /** @return The low watermark of the demand alone; low() also has room for the largest request. */
-    [[nodiscard]] Tokens lowDemand(const BudgetSituation& situation) const;
-    [[nodiscard]] Tokens low(const BudgetSituation& situation) const;
-    [[nodiscard]] Tokens high(const BudgetSituation& situation) const;
+    /** @return Tokens to hold before there is demand; zero when demand is known. */
+    [[nodiscard]] Tokens preallocation(const BudgetSituation& situation) const;
+    /** @return Low watermark in tokens by demand alone; lowWatermark() is at least the largest recent request. */
+    [[nodiscard]] Tokens lowDemandWatermark(const BudgetSituation& situation) const;
+    [[nodiscard]] Tokens lowWatermark(const BudgetSituation& situation) const;
+    /** @return High watermark in tokens, with room for the largest recent request. */
+    [[nodiscard]] Tokens highWatermark(const BudgetSituation& situation) const;
 
     PolicySettings settings_;
 };
--- a/src/ledger/PolicyStaticSplit.h
+++ b/src/ledger/PolicyStaticSplit.h
@@ -7,7 +7,7 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief Baseline: an equal part of what was bought, drawn at first use, never given back or lent. */
+/** @brief Baseline policy: draws an equal part of the bought tokens at first use, and never returns or lends any. */
 class StaticSplitPolicy final : public HoldingPolicy {
 public:
     explicit StaticSplitPolicy(std::uint32_t parts)
@@ -23,11 +23,11 @@
         return DrawDecision { part - situation.drawn, Tokens { 1 } };
     }
 
-    [[nodiscard]] Tokens headRoom(const BudgetSituation& situation) const override { return situation.free; }
+    [[nodiscard]] Tokens headroom(const BudgetSituation& situation) const override { return situation.free; }
     [[nodiscard]] Tokens surplus(const BudgetSituation&) const override { return {}; }
     [[nodiscard]] Tokens loanSize(const BudgetSituation&) const override { return {}; }
     [[nodiscard]] Tokens lendable(const BudgetSituation&) const override { return {}; }
-    [[nodiscard]] bool renewsAlone() const override { return false; }
+    [[nodiscard]] bool replacesHolderOnlyGrants() const override { return false; }
     [[nodiscard]] bool witnessed() const override { return false; }
 
 private:
--- a/src/ledger/ShortageSignals.cpp
+++ b/src/ledger/ShortageSignals.cpp
@@ -6,34 +6,35 @@
 
     using namespace std::chrono_literals;
 
-    /** Each signal is a record that every router reads. */
-    constexpr Duration pause = 1s;
+    /** Shortest time between two signals, since each one is a record that every router reads. */
+    constexpr Duration signalPause = 1s;
 
 } // namespace
 
-void ShortageSignals::sent(Instant now)
+void ShortageSignals::onSent(Instant now)
 {
-    formerInVain_ = sentAt_ && !answered_;
+    previousUnanswered_ = sentAt_ && !answered_;
     answered_ = false;
     sentAt_ = now;
-    next_ = now + pause;
+    notBefore_ = now + signalPause;
 }
 
-void ShortageSignals::relieved() noexcept
+void ShortageSignals::onTokensReceived() noexcept
 {
     answered_ = true;
-    formerInVain_ = false;
+    previousUnanswered_ = false;
 }
 
-bool ShortageSignals::awaited(Instant now, Duration patience) const noexcept
+bool ShortageSignals::isAnswerPending(Instant now, Duration maxWait) const noexcept
 {
-    return sentAt_ && !formerInVain_ && now - *sentAt_ < patience;
+    return sentAt_ && !previousUnanswered_ && now - *sentAt_ < maxWait;
 }
 
 void ShortageSignals::print(std::ostream& out) const
 {
-    out << " signal " << next_.time_since_epoch().count() << '/' << (sentAt_ ? sentAt_->time_since_epoch().count() : -1)
-        << (answered_ ? " answered" : "") << (formerInVain_ ? " in vain" : "");
+    out << " signal " << notBefore_.time_since_epoch().count() << '/'
+        << (sentAt_ ? sentAt_->time_since_epoch().count() : -1) << (answered_ ? " answered" : "")
+        << (previousUnanswered_ ? " in vain" : "");
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/ShortageSignals.h
+++ b/src/ledger/ShortageSignals.h
@@ -7,33 +7,35 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @brief Draws that can't be covered and only tell the other holders that money is short here: when, and to what end.
+/**
+ * @brief Schedule and outcome of shortage signals: draws that the ledger can't cover, made so that the other holders
+ * read them and return tokens.
  */
 class ShortageSignals {
 public:
-    /** @return Whether another one may be made. */
-    [[nodiscard]] bool due(Instant now) const noexcept { return now >= next_; }
+    /** @return Whether another signal may be sent. */
+    [[nodiscard]] bool isDue(Instant now) const noexcept { return now >= notBefore_; }
 
-    void sent(Instant now);
+    void onSent(Instant now);
 
-    /** Money came, be it by a draw or a loan. */
-    void relieved() noexcept;
+    /** @brief A draw or a loan has brought tokens. */
+    void onTokensReceived() noexcept;
 
     /**
-     * @param patience How long the others take to answer.
-     * @return Whether an answer to the last one may still come, and the one before it was not in vain.
+     * @param maxWait How long after a signal its answer is waited for.
+     * @return Whether the last signal may still be answered, and the signal before it was not left unanswered.
      */
-    [[nodiscard]] bool awaited(Instant now, Duration patience) const noexcept;
+    [[nodiscard]] bool isAnswerPending(Instant now, Duration maxWait) const noexcept;
 
     void print(std::ostream& out) const;
 
 private:
-    Instant next_ {};
+    Instant notBefore_ {};
     std::optional<Instant> sentAt_;
-    /** Money came since the last one. */
+    /** Tokens have arrived since the last signal. */
     bool answered_ = false;
-    /** No money came between the last one and the one before it. */
-    bool formerInVain_ = false;
+    /** No tokens arrived between the last signal and the one before it. */
+    bool previousUnanswered_ = false;
 };
 
 } // namespace swiftlift::ledger::internal
--- a/tests/ledger/ExploreNode.cpp
+++ b/tests/ledger/ExploreNode.cpp
@@ -9,7 +9,7 @@
 
 std::optional<DrawDecision> FixedPolicy::draw(const BudgetSituation& situation) const
 {
-    if (situation.need <= situation.largestFree || situation.drawn >= Tokens { setup.mostDrawn })
+    if (situation.need <= situation.largestFree || situation.drawn >= Tokens { setup.maxDrawn })
         return {};
     return DrawDecision { std::max(Tokens { setup.chunk }, situation.need), situation.need };
 }
@@ -42,7 +42,7 @@
 {
 }
 
-void Node::readOn(std::shared_ptr<const Fold> later)
+void Node::advanceTo(std::shared_ptr<const Fold> later)
 {
     holder = Holder(holder, *later);
     witness = Witness(witness, *later);
--- a/tests/ledger/ExploreTest.cpp
+++ b/tests/ledger/ExploreTest.cpp
@@ -12,8 +12,9 @@
 
     Tokens tokens(std::int64_t count) { return Tokens { count }; }
 
-    /** Node 0 spends, crashes or pauses; node 1 seals it at any moment and spends the rest. */
-    Setup sealing()
+    /** Node 0 spends, and may crash at any moment; node 1 seals the grants of node 0 at any moment and spends the rest.
+     */
+    Setup sealingSetup()
     {
         Setup setup;
         setup.requests
@@ -26,44 +27,47 @@
         return setup;
     }
 
-    /** Node 0 changes from witness 1 to witness 2; either seals it at any moment. */
-    Setup changingWitness()
+    /** Node 0 changes from witness 1 to witness 2; either witness seals the grants of node 0 at any moment. */
+    Setup changingWitnessSetup()
     {
         Setup setup;
         setup.requests = { { 0, 1, tokens(1), tokens(1) }, { 0, 2, tokens(2), tokens(2) } };
-        setup.headRoom = 1;
-        setup.mostDrawn = 4;
-        setup.before = { 0 };
+        setup.headroom = 1;
+        setup.maxDrawn = 4;
+        setup.initialRequests = { 0 };
         setup.witnesses = { { 1, 2 }, { std::nullopt }, { std::nullopt } };
         setup.maySuspect = { { 1, 0 }, { 2, 0 } };
         setup.ticks = { 1, 0, 0 };
         return setup;
     }
 
-    /** Node 1 is cut off from the log and borrows from node 0, which closes as soon as it may. Key 1 runs at both. */
-    Setup lending()
+    /**
+     * Node 1 can't reach the log and borrows from node 0, which closes its grants as soon as the rules allow. The
+     * request of key 1 runs at both nodes.
+     */
+    Setup lendingSetup()
     {
         Setup setup;
         setup.bought = 4;
         setup.requests
             = { { 0, 1, tokens(1), tokens(1) }, { 1, 1, tokens(2), tokens(2) }, { 1, 2, tokens(2), tokens(1) } };
-        setup.before = { 0 };
-        setup.cutOff = { 1 };
+        setup.initialRequests = { 0 };
+        setup.withoutLog = { 1 };
         setup.witnesses = { { std::nullopt }, { std::nullopt } };
         setup.mayStop = { 0 };
         setup.ticks = { 0, 1 };
         return setup;
     }
 
-    /** As `lending`, with a witnessed grant that node 2 seals at any moment. */
-    Setup lendingSealed()
+    /** Like `lendingSetup`, with a witnessed grant that node 2 seals at any moment. */
+    Setup lendingSealedSetup()
     {
         Setup setup;
         setup.bought = 4;
-        setup.headRoom = 2;
-        setup.before = { 0 };
+        setup.headroom = 2;
+        setup.initialRequests = { 0 };
         setup.requests = { { 0, 1, tokens(1), tokens(1) }, { 1, 2, tokens(2), tokens(2) } };
-        setup.cutOff = { 1 };
+        setup.withoutLog = { 1 };
         setup.witnesses = { { 2 }, { 2 }, { std::nullopt } };
         setup.mayCrash = { 0 };
         setup.maySuspect = { { 2, 0 } };
@@ -71,26 +75,29 @@
         return setup;
     }
 
-    /** As `lendingSealed`, where witnesses only seal: lender and borrower are both cut off from the log. */
-    Setup lendingWhereWitnessesSeal()
+    /**
+     * Like `lendingSealedSetup`, in a fleet whose witnesses never close grants; neither lender nor borrower reaches the
+     * log.
+     */
+    Setup lendingSealOnlySetup()
     {
-        Setup setup = lendingSealed();
-        setup.cutOff = { 0, 1 };
+        Setup setup = lendingSealedSetup();
+        setup.withoutLog = { 0, 1 };
         setup.witnessesClose = false;
         return setup;
     }
 
-    /** Acknowledges whatever it is asked, sealed or not. */
-    struct NeverRefuses final : Behaviour {
+    /** Fault: the witness acknowledges every raise, even of a sealed grant. */
+    struct AcknowledgesAfterSeal final : FaultInjection {
         LedgerActions onRaise(Node&, const SendRaise& raise, Incarnation from, LedgerActions) const override
         {
             return { SendCeilingsAcked { from, raise.ceilings } };
         }
     };
 
-    /** Takes a draw for admitted as soon as it is asked for. */
-    struct SpendsBeforeReading final : Behaviour {
-        std::optional<Effect> takenForRead(const Node&, const Entry& entry) const override
+    /** Fault: the holder treats a draw as admitted as soon as it is emitted. */
+    struct SpendsBeforeReading final : FaultInjection {
+        std::optional<Effect> assumedEffect(const Node&, const Entry& entry) const override
         {
             const auto* const draw = std::get_if<Draw>(&entry);
             if (!draw)
@@ -99,8 +106,8 @@
         }
     };
 
-    /** Takes any acknowledgement for one of the present witness. */
-    struct TakesOldWitness final : Behaviour {
+    /** Fault: the holder treats every acknowledgement as one of the current witness. */
+    struct AcceptsOldWitness final : FaultInjection {
         Incarnation acknowledgedBy(const Node& node, const SendCeilingsAcked& acked, Incarnation from) const override
         {
             const auto grant = node.fold->grant(acked.ceilings.front().grant);
@@ -108,64 +115,64 @@
         }
     };
 
-    /** Tells the lender that nothing was billed. */
-    struct HidesBills final : Behaviour {
+    /** Fault: LoanDone reports that nothing was billed. */
+    struct ReportsNoBills final : FaultInjection {
         Tokens billedOnLoan(const SendLoanDone&) const override { return {}; }
     };
 
     void expectSound(const Setup& setup, std::size_t depth)
     {
-        const SearchResult result = search(setup, Behaviour {}, depth, maxStates);
+        const SearchResult result = search(setup, FaultInjection {}, depth, maxStates);
         std::cout << textOf(result) << '\n';
         EXPECT_EQ(result.violation, "") << textOf(result);
         EXPECT_TRUE(result.complete) << textOf(result);
     }
 
-    void expectCaught(const Setup& setup, const Behaviour& faulty, std::size_t depth, Look look)
+    void expectCaught(const Setup& setup, const FaultInjection& faults, std::size_t depth, CheckedProperty property)
     {
-        const SearchResult result = search(setup, faulty, depth, maxStates, look);
+        const SearchResult result = search(setup, faults, depth, maxStates, property);
         std::cout << textOf(result) << '\n';
         EXPECT_NE(result.violation, "") << textOf(result);
     }
 
 } // namespace
 
-TEST(ExploreTest, SealAtAnyMoment) { expectSound(sealing(), 14); }
+TEST(ExploreTest, SealAtAnyMoment) { expectSound(sealingSetup(), 14); }
 
-TEST(ExploreTest, ChangeOfWitnessAgainstSeal) { expectSound(changingWitness(), 14); }
+TEST(ExploreTest, ChangeOfWitnessAgainstSeal) { expectSound(changingWitnessSetup(), 14); }
 
-TEST(ExploreTest, LoanWhileLenderCloses) { expectSound(lending(), 14); }
+TEST(ExploreTest, LoanWhileLenderCloses) { expectSound(lendingSetup(), 14); }
 
-TEST(ExploreTest, LoanOfSealedGrant) { expectSound(lendingSealed(), 14); }
+TEST(ExploreTest, LoanOfSealedGrant) { expectSound(lendingSealedSetup(), 14); }
 
-TEST(ExploreTest, LoanInAnOutageWhereWitnessesOnlySeal) { expectSound(lendingWhereWitnessesSeal(), 14); }
+TEST(ExploreTest, LoanInAnOutageWhereWitnessesOnlySeal) { expectSound(lendingSealOnlySetup(), 14); }
 
-// Symptom: 8 of 6 tokens are spent. Sequence: the witness seals, the rest is drawn by another, then the witness
-// acknowledges a raise of the paused holder. Cause (put in on purpose): it goes on after the suspicion.
+// Injected fault: the witness acknowledges raises after it has sealed. Another holder draws the rest, then the paused
+// holder's raise is acknowledged, and 8 of 6 tokens are spent.
 TEST(ExploreTest, FindsWitnessThatAcknowledgesAfterSuspicion)
 {
-    expectCaught(sealing(), NeverRefuses {}, 24, Look::ForOverspend);
+    expectCaught(sealingSetup(), AcknowledgesAfterSeal {}, 24, CheckedProperty::OverspendOnly);
 }
 
-// Symptom: both holders spend the same tokens. Sequence: both draw, both spend, one draw is refused. Cause (put in on
-// purpose): a grant is used before its draw was read back.
+// Injected fault: a grant is used before its draw is read back. Both holders draw and spend the same tokens, and one of
+// the draws is refused.
 TEST(ExploreTest, FindsHolderThatSpendsBeforeReadingBack)
 {
-    expectCaught(sealing(), SpendsBeforeReading {}, 24, Look::ForOverspend);
+    expectCaught(sealingSetup(), SpendsBeforeReading {}, 24, CheckedProperty::OverspendOnly);
 }
 
-// Symptom: the holder is above the sealed ceiling. Sequence: a raise of the old witness arrives after the change; the
-// new witness seals at the ceiling of the change. Cause (put in on purpose): the holder takes the old one's word.
-TEST(ExploreTest, FindsHolderThatTakesOldWitness)
+// Injected fault: the holder accepts an acknowledgement of the old witness after the change of witness. The new witness
+// seals at the ceiling of the change, which the holder has exceeded.
+TEST(ExploreTest, FindsHolderThatAcceptsOldWitness)
 {
-    expectCaught(changingWitness(), TakesOldWitness {}, 24, Look::ForAnyViolation);
+    expectCaught(changingWitnessSetup(), AcceptsOldWitness {}, 24, CheckedProperty::AnyViolation);
 }
 
-// Symptom: a bill is refused. Sequence: the borrower says that it is done, the lender closes, the borrower's bill
-// lands. Cause (put in on purpose): the lender believes that nothing was billed.
+// Injected fault: LoanDone reports no bills. The lender closes the grant, the borrower's bill lands, and the fold
+// refuses the bill.
 TEST(ExploreTest, FindsLenderThatClosesBeforeBills)
 {
-    expectCaught(lending(), HidesBills {}, 24, Look::ForAnyViolation);
+    expectCaught(lendingSetup(), ReportsNoBills {}, 24, CheckedProperty::AnyViolation);
 }
 
 } // namespace swiftlift::ledger::explore
--- a/tests/ledger/ExploreText.h
+++ b/tests/ledger/ExploreText.h
@@ -6,6 +6,7 @@
 
 namespace swiftlift::ledger::explore {
 
+// Short texts of ledger objects for schedules and for comparing states.
 [[nodiscard]] std::string textOf(const GrantId& id);
 [[nodiscard]] std::string textOf(const Entry& entry);
 [[nodiscard]] std::string textOf(const Message& message);
--- a/tests/ledger/ExploreWorld.cpp
+++ b/tests/ledger/ExploreWorld.cpp
@@ -37,9 +37,9 @@
 
 } // namespace
 
-World::World(const Setup& setup, const Behaviour& behaviour)
+World::World(const Setup& setup, const FaultInjection& faults)
     : setup_(&setup)
-    , behaviour_(&behaviour)
+    , faults_(&faults)
 {
     append(Item { operators, 1, OpenAccount { budgetOf(0).account, "hash" } });
     for (std::size_t index = 0; index < setup.budgets; ++index)
@@ -48,7 +48,7 @@
         auto node
             = std::make_shared<Node>(incarnationOf(index), std::make_unique<FixedPolicy>(setup), log_.back()->fold);
         node->position = log_.size();
-        node->environment.logReachable = !setup.cutOff.contains(index);
+        node->environment.logReachable = !setup.withoutLog.contains(index);
         if (const auto witness = setup.witnesses.at(index).front())
             node->environment.witness = incarnationOf(*witness);
         for (std::size_t other = 0; other < setup.witnesses.size(); ++other) {
@@ -61,17 +61,16 @@
         nodeHashes_.push_back(hashOf(node->text()));
         nodes_.push_back(std::move(node));
     }
-    for (const std::size_t request : setup.before) {
+    for (const std::size_t request : setup.initialRequests) {
         const Step step { StepKind::Request, setup.requests.at(request).node, request };
-        take(step);
-        runQuiet();
-        take(step);
-        runQuiet();
+        execute(step);
+        runUntilSettled();
+        execute(step);
+        runUntilSettled();
     }
 }
 
-/** Lets every entry land, every record be read and every message arrive once, until nothing is new. */
-void World::runQuiet()
+void World::runUntilSettled()
 {
     std::set<std::string> delivered;
     const auto next = [&]() -> std::optional<Step> {
@@ -84,10 +83,10 @@
         return {};
     };
     while (const std::optional<Step> step = next())
-        take(*step);
+        execute(*step);
 }
 
-Node& World::change(std::size_t index)
+Node& World::copyForChange(std::size_t index)
 {
     auto copy = std::make_shared<Node>(*nodes_.at(index));
     Node& changed = *copy;
@@ -133,16 +132,16 @@
         steps.push_back(Step { StepKind::Witness, index, 0 });
     if (setup_->mayStop.contains(index) && !node.environment.stopping)
         steps.push_back(Step { StepKind::Stop, index, 0 });
-    for (const auto& [who, whom] : setup_->maySuspect) {
-        if (who == index && !node.suspected.contains(whom))
-            steps.push_back(Step { StepKind::Suspect, index, whom });
+    for (const auto& [suspecting, suspectedNode] : setup_->maySuspect) {
+        if (suspecting == index && !node.suspected.contains(suspectedNode))
+            steps.push_back(Step { StepKind::Suspect, index, suspectedNode });
     }
 }
 
-void World::take(const Step& step)
+void World::execute(const Step& step)
 {
     const std::shared_ptr<const Message> message = step.kind == StepKind::Deliver ? messages_.at(step.index) : nullptr;
-    Node& node = change(step.node);
+    Node& node = copyForChange(step.node);
     LedgerActions actions;
     switch (step.kind) {
     case StepKind::Request:
@@ -214,14 +213,14 @@
     record->batch = Batch { rulesVersion, { item } };
     const std::shared_ptr<Fold> fold = log_.empty() ? std::make_shared<Fold>() : copyOf(*log_.back()->fold);
     if (!fold || !fold->apply(fold->nextOffset(), record->batch, record->effects))
-        broken_ = "the fold refused a record";
+        brokenRule_ = "the fold refused a record";
     for (const Effect& effect : record->effects) {
         const auto* const refused = std::get_if<Refused>(&effect);
         if (refused && std::holds_alternative<Bill>(item.entry))
-            broken_ = "the fold refused a bill: " + refused->reason;
+            brokenRule_ = "the fold refused a bill: " + refused->reason;
     }
     if (const std::string finding = fold->inconsistency(); !finding.empty())
-        broken_ = finding;
+        brokenRule_ = finding;
     record->fold = fold;
     log_.push_back(std::move(record));
     logHash_ = hashOf(std::to_string(logHash_) + std::to_string(item.origin.value()) + textOf(item.entry));
@@ -230,7 +229,7 @@
 void World::read(Node& node, LedgerActions& actions)
 {
     const std::shared_ptr<const Record> record = log_.at(node.position);
-    node.readOn(record->fold);
+    node.advanceTo(record->fold);
     for (const Effect& effect : record->effects) {
         node.witness.onEffect(effect, actions);
         node.holder.onEffect(effect, node.now, actions);
@@ -244,9 +243,9 @@
     const Instant now = node.now;
     if (const auto* const raise = std::get_if<SendRaise>(&message.body)) {
         node.witness.onRaise(from, raise->ceilings, actions);
-        actions = behaviour_->onRaise(node, *raise, from, std::move(actions));
+        actions = faults_->onRaise(node, *raise, from, std::move(actions));
     } else if (const auto* const acked = std::get_if<SendCeilingsAcked>(&message.body)) {
-        holder.onCeilingsAcked(behaviour_->acknowledgedBy(node, *acked, from), acked->ceilings, now, actions);
+        holder.onCeilingsAcked(faults_->acknowledgedBy(node, *acked, from), acked->ceilings, now, actions);
     } else if (const auto* const refused = std::get_if<SendCeilingsRefused>(&message.body)) {
         holder.onCeilingsRefused(from, refused->grants, now, actions);
     } else if (const auto* const ask = std::get_if<SendLoanAsk>(&message.body)) {
@@ -257,7 +256,7 @@
     } else if (const auto* const denied = std::get_if<SendLoanDenied>(&message.body)) {
         holder.onLoanDenied(from, denied->loan, denied->budget, denied->free, now, actions);
     } else if (const auto* const done = std::get_if<SendLoanDone>(&message.body)) {
-        holder.onLoanDone(from, done->loan, behaviour_->billedOnLoan(*done), now, actions);
+        holder.onLoanDone(from, done->loan, faults_->billedOnLoan(*done), now, actions);
     } else if (const auto* const doneAcked = std::get_if<SendLoanDoneAcked>(&message.body)) {
         holder.onLoanDoneAcked(from, doneAcked->loan, now, actions);
     }
@@ -276,7 +275,7 @@
     for (LedgerAction& action : actions) {
         if (auto* const entry = std::get_if<AppendEntry>(&action)) {
             LedgerActions more;
-            if (const auto effect = behaviour_->takenForRead(node, entry->entry)) {
+            if (const auto effect = faults_->assumedEffect(node, entry->entry)) {
                 node.holder.onEffect(Landed { node.id, node.sequence + 1 }, node.now, more);
                 node.holder.onEffect(*effect, node.now, more);
             }
@@ -311,16 +310,16 @@
 {
     if (std::string overspend = overspent(); !overspend.empty())
         return overspend;
-    if (!broken_.empty())
-        return broken_;
+    if (!brokenRule_.empty())
+        return brokenRule_;
     for (const auto& node : nodes_) {
-        if (!node->crashed && outOfBounds(*node))
+        if (!node->crashed && exceedsCeiling(*node))
             return "a holding is above its ceiling";
     }
     return {};
 }
 
-bool World::outOfBounds(const Node& node) const
+bool World::exceedsCeiling(const Node& node) const
 {
     return std::ranges::any_of(node.holder.holdings(), [&](const HoldingView& view) {
         const Tokens charge = view.billed + view.reserved + view.lent;
--- a/tests/ledger/ExploreWorld.h
+++ b/tests/ledger/ExploreWorld.h
@@ -15,42 +15,62 @@
 
 namespace swiftlift::ledger::explore {
 
+/** @brief A request that may be made at any moment of an exploration. */
 struct ScriptedRequest {
+    /** Index of the node that gets the request. */
     std::size_t node = 0;
+    /** Low half of the request's key. */
     std::uint64_t key = 0;
+    /** Tokens to reserve. */
     Tokens amount;
+    /** Tokens that the request costs. */
     Tokens actual;
+    /** Index of the budget. */
     std::size_t budget = 0;
 };
 
-/** What may happen in one exploration, beside messages and log records moving at any time and in any order. */
+/**
+ * @brief Steps that are possible in one exploration, in addition to messages being delivered and log records being
+ * appended and read at any time and in any order.
+ */
 struct Setup {
-    /** Of each budget. */
+    /** Tokens bought for each budget. */
     std::int64_t bought = 6;
     std::size_t budgets = 1;
+    /** Smallest draw, in tokens. */
     std::int64_t chunk = 4;
-    std::int64_t headRoom = 2;
-    std::int64_t keep = 100;
-    /** Nothing is drawn any more by a node that was admitted so much. */
-    std::int64_t mostDrawn = 100;
+    /** Headroom of ceilings, in tokens. */
+    std::int64_t headroom = 2;
+    /** Free tokens above this are returned. */
+    std::int64_t maxFree = 100;
+    /** A node draws nothing more once it was admitted this many tokens. */
+    std::int64_t maxDrawn = 100;
     std::vector<ScriptedRequest> requests;
-    /** Nodes that believe that the log is unreachable, and so borrow. */
-    std::set<std::size_t> cutOff;
-    /** For each node, who its surroundings name as witness, one after the other. */
+    /** Nodes whose environment says that the log is unreachable, so that they borrow. */
+    std::set<std::size_t> withoutLog;
+    /** For each node, the witnesses that its environment names one after the other. */
     std::vector<std::vector<std::optional<std::size_t>>> witnesses;
+    /** Nodes that may crash, and nodes that may stop in order. */
     std::set<std::size_t> mayCrash;
     std::set<std::size_t> mayStop;
+    /** Pairs of a node and a node that it may suspect of having failed. */
     std::set<std::pair<std::size_t, std::size_t>> maySuspect;
+    /** For each node, how often it may tick. */
     std::vector<std::uint32_t> ticks;
-    /** Whether a running request may also end without having run. */
+    /** Whether a reserved request may also be released without having run. */
     bool mayRelease = false;
-    /** False: a fleet whose witnesses only seal, and whose nodes lend and spend on in an outage. */
+    /**
+     * False in a fleet whose witnesses seal but never close grants, and whose nodes go on lending and spending in an
+     * outage.
+     */
     bool witnessesClose = true;
-    /** Requests made before the exploration begins, each with all that follows from it in good order. */
-    std::vector<std::size_t> before;
+    /** Requests made before the exploration begins; every step that follows from them is taken in order. */
+    std::vector<std::size_t> initialRequests;
 };
 
-/** A policy without estimates: draws a chunk at need, lends and borrows what is asked. */
+/**
+ * @brief A policy without estimates: draws a fixed amount when a request needs it, lends and borrows what is requested.
+ */
 struct FixedPolicy final : HoldingPolicy {
     explicit FixedPolicy(const Setup& explored)
         : setup(explored)
@@ -58,8 +78,11 @@
     }
 
     std::optional<DrawDecision> draw(const BudgetSituation& situation) const override;
-    Tokens headRoom(const BudgetSituation&) const override { return Tokens { setup.headRoom }; }
-    Tokens surplus(const BudgetSituation& situation) const override { return situation.free - Tokens { setup.keep }; }
+    Tokens headroom(const BudgetSituation&) const override { return Tokens { setup.headroom }; }
+    Tokens surplus(const BudgetSituation& situation) const override
+    {
+        return situation.free - Tokens { setup.maxFree };
+    }
     Tokens loanSize(const BudgetSituation& situation) const override { return situation.need; }
     Tokens lendable(const BudgetSituation& situation) const override { return situation.free; }
     bool witnessed() const override { return true; }
@@ -71,48 +94,54 @@
 using PeerBody = std::variant<SendRaise, SendCeilingsAcked, SendCeilingsRefused, SendLoanAsk, SendLoanGiven,
     SendLoanDenied, SendLoanDone, SendLoanDoneAcked>;
 
+/** @brief A message between two nodes. */
 struct Message {
     std::size_t from = 0;
     std::size_t to = 0;
     PeerBody body;
+    /** Text of the message, which identifies it. */
     std::string text;
     std::uint64_t hash = 0;
 };
 
+/** @brief A record of the log. */
 struct Record {
     Batch batch;
     std::vector<Effect> effects;
-    /** The state after this record. */
+    /** State of the fold after this record. */
     std::shared_ptr<const Fold> fold;
 };
 
-/** A request that holds a reservation. */
+/** @brief A request that holds a reservation. */
 struct Running {
     Reservation reservation;
     Tokens actual;
 };
 
+/** @brief A router: a holder and a witness over the log as far as the router has read it. */
 struct Node {
     Node(Incarnation incarnation, std::unique_ptr<HoldingPolicy> policy, std::shared_ptr<const Fold> start);
     Node(const Node& other);
     Node& operator=(const Node&) = delete;
 
     std::string text() const;
-    /** Lets holder and witness go on over a later state of the log. */
-    void readOn(std::shared_ptr<const Fold> later);
+    /** @brief Moves holder and witness to the fold's state after the next record. */
+    void advanceTo(std::shared_ptr<const Fold> later);
 
     Incarnation id;
     std::shared_ptr<const Fold> fold;
+    /** Index of the next record to read. */
     std::size_t position = 0;
     Holder holder;
     Witness witness;
     HolderEnvironment environment;
     Instant now {};
+    /** Emitted items that have not landed. */
     std::vector<Item> outbox;
     std::uint64_t sequence = 0;
     std::set<std::size_t> started;
     std::vector<Running> running;
-    /** Requests answered by this node, with what they cost. */
+    /** Requests that this node has answered, with their costs. */
     std::vector<Running> answered;
     std::size_t witnessChoice = 0;
     std::uint32_t ticks = 0;
@@ -120,20 +149,21 @@
     std::set<std::size_t> suspected;
 };
 
-/** What a test of the explorer itself breaks. The default breaks nothing. */
-class Behaviour {
+/** @brief Faults that a test of the explorer injects. The default injects none. */
+class FaultInjection {
 public:
-    virtual ~Behaviour() = default;
-    /** @return What the witness's answer to a raise becomes. */
+    virtual ~FaultInjection() = default;
+    /** @return Answer to a raise, in place of the witness's `answer`. */
     virtual LedgerActions onRaise(Node&, const SendRaise&, Incarnation, LedgerActions answer) const { return answer; }
-    /** @return Who is said to have acknowledged. */
+    /** @return Incarnation that the holder takes for the sender of an acknowledgement. */
     virtual Incarnation acknowledgedBy(const Node&, const SendCeilingsAcked&, Incarnation from) const { return from; }
-    /** @return What the lender is told to have been billed. */
+    /** @return Sum of bills that the lender gets with LoanDone. */
     virtual Tokens billedOnLoan(const SendLoanDone& done) const { return done.billed; }
-    /** @return An effect that the node takes for read though it is not. */
-    virtual std::optional<Effect> takenForRead(const Node&, const Entry&) const { return {}; }
+    /** @return Effect that the holder processes although it has not read it from the log; nothing for none. */
+    virtual std::optional<Effect> assumedEffect(const Node&, const Entry&) const { return {}; }
 };
 
+/** @brief Kinds of steps; `index` of a step selects the request, message, or suspected node. */
 enum class StepKind : std::uint8_t {
     Request,
     Answer,
@@ -154,24 +184,32 @@
     std::size_t index = 0;
 };
 
-/** @brief Routers, one log and every message ever sent: a message may be delivered late, again, or never. */
+/**
+ * @brief State of an exploration: routers, one log and every message ever sent. A message may be delivered late,
+ * repeatedly or never.
+ */
 class World {
 public:
-    /** Both outlive the world. */
-    World(const Setup& setup, const Behaviour& behaviour);
+    /** @brief Both arguments have to outlive the world. */
+    World(const Setup& setup, const FaultInjection& faults);
 
+    /** @return Steps that are possible now. */
     [[nodiscard]] std::vector<Step> enabled() const;
-    void take(const Step& step);
+    void execute(const Step& step);
     [[nodiscard]] std::string describe(const Step& step) const;
-    /** @return What is broken; empty when nothing is. */
+    /** @return The broken property, as text; empty when all hold. */
     [[nodiscard]] std::string violation() const;
-    /** @return What was spent, when it is more than was bought; requests that were answered count, billed or not. */
+    /**
+     * @return Tokens spent and bought, as text, when more were spent than bought; empty otherwise. Answered requests
+     * count whether or not they were billed.
+     */
     [[nodiscard]] std::string overspent() const;
     [[nodiscard]] std::uint64_t hash() const;
     [[nodiscard]] const Node& node(std::size_t index) const { return *nodes_.at(index); }
 
 private:
-    [[nodiscard]] Node& change(std::size_t index);
+    /** @return A copy of the node, which replaces the node that other worlds may share. */
+    [[nodiscard]] Node& copyForChange(std::size_t index);
     void append(const Item& item);
     void request(Node& node, std::size_t index, LedgerActions& actions);
     void read(Node& node, LedgerActions& actions);
@@ -179,21 +217,24 @@
     void tick(Node& node, LedgerActions& actions);
     void emit(std::size_t index, LedgerActions actions);
     void send(std::size_t from, Incarnation to, PeerBody body);
-    void runQuiet();
-    /** @return Whether the node holds more than its ceiling, or than the ceiling that the log's end has sealed. */
-    [[nodiscard]] bool outOfBounds(const Node& node) const;
+    /** @brief Appends every entry, reads every record and delivers every message once, until nothing new happens. */
+    void runUntilSettled();
+    /** @return Whether a grant's committed tokens exceed the node's ceiling, or the ceiling of a seal in the whole log.
+     */
+    [[nodiscard]] bool exceedsCeiling(const Node& node) const;
     void enabledAt(std::size_t index, std::vector<Step>& steps) const;
 
     const Setup* setup_;
-    const Behaviour* behaviour_;
+    const FaultInjection* faults_;
     std::vector<std::shared_ptr<const Node>> nodes_;
     std::vector<std::uint64_t> nodeHashes_;
     std::vector<std::shared_ptr<const Record>> log_;
-    /** In the order of their texts, each once. */
+    /** Messages sent so far, sorted by their texts, without repeats. */
     std::vector<std::shared_ptr<const Message>> messages_;
     std::uint64_t messagesHash_ = 0;
     std::uint64_t logHash_ = 0;
-    std::string broken_;
+    /** Last rule that an appended record broke; empty when none did. */
+    std::string brokenRule_;
 };
 
 } // namespace swiftlift::ledger::explore
--- a/tests/ledger/FundTest.cpp
+++ b/tests/ledger/FundTest.cpp
@@ -32,9 +32,8 @@
         EXPECT_TRUE(fold_.account(prepaid.account));
     }
 
-    // Symptom: an account can use twice what it paid for.
-    // Events: every router reads the operator's total and writes it; one of them late, with an older one.
-    // Cause: totals were added up, or the last one written counted.
+    // Failure: an account can use twice what it paid for. Every router writes the total that it read from the
+    // operators, one of them late and with an older total, and the totals are added up, or the last one written counts.
     TEST_F(FundTest, RepeatsAndOlderTotalsChangeNothing)
     {
         apply(first, Fund { prepaid, Tokens { 1000 } });
@@ -55,9 +54,9 @@
         EXPECT_EQ(other.budget(prepaid)->available(), Tokens { 600 });
     }
 
-    class StockTest : public testing::Test {
+    class PreallocationTest : public testing::Test {
     protected:
-        StockTest()
+        PreallocationTest()
         {
             PolicySettings settings;
             settings.watermarks = Watermarks { 8, 10 };
@@ -74,10 +73,9 @@
         BudgetSituation situation_;
     };
 
-    // Symptom: routers that live refuse while a budget is untouched.
-    // Events: the log goes out of reach before there has been any demand.
-    // Cause: nothing is drawn before it is asked for.
-    TEST_F(StockTest, ShareIsDrawnBeforeThereIsDemand)
+    // Failure: live routers refuse requests while a budget is untouched, because the log became unreachable before
+    // there was any demand and nothing had been drawn.
+    TEST_F(PreallocationTest, ShareIsDrawnBeforeThereIsDemand)
     {
         const auto decision = policy_->draw(situation_);
         ASSERT_TRUE(decision);
@@ -88,10 +86,9 @@
         EXPECT_EQ(policy_->surplus(situation_), Tokens {});
     }
 
-    // Symptom: a third of each budget is out of reach after all routers lost power.
-    // Events: routers go on holding their stock though demand is known.
-    // Cause: what a dead router held counts as spent, whatever it was held for.
-    TEST_F(StockTest, GoesBackOnceDemandIsKnown)
+    // Failure: a third of each budget is lost after a power failure of all routers, because they keep their
+    // preallocation after demand is known, and what a failed router held counts as spent.
+    TEST_F(PreallocationTest, IsReturnedOnceDemandIsKnown)
     {
         situation_.preallocated = false;
         situation_.drawn = Tokens { 100'000 };
@@ -101,23 +98,21 @@
         EXPECT_EQ(policy_->surplus(situation_), Tokens { 80'000 });
     }
 
-    // Symptom: 527,778 of 20,210,114 tokens are held when traffic begins, where half was to be.
-    // Events: 81 routers start together and draw their stock; the first know of 7 others and draw eleven times their
-    // share, so the last are short, and at that sign all give back what they hold.
-    // Cause: a draw that was short meant that somebody waits for money, whatever it was made for.
-    TEST_F(StockTest, StaysThoughAnothersStockWasShort)
+    // Failure: only 527,778 of 20,210,114 tokens are held when traffic begins, instead of half of them. 81 routers
+    // start together and draw their preallocation; the first ones know of only 7 others and draw eleven times their
+    // share, so the last draws are short, and all routers return what they hold as if requests were waiting for tokens.
+    TEST_F(PreallocationTest, IsKeptWhenAnotherPreallocationWasShort)
     {
         situation_.drawn = Tokens { 150'000 };
         situation_.free = Tokens { 150'000 };
-        situation_.othersShort = Tokens { 1'000'000 };
+        situation_.othersShortfall = Tokens { 1'000'000 };
         EXPECT_EQ(policy_->surplus(situation_), Tokens { 50'000 });
     }
 
-    // Symptom: one VM of 81, with an eighth of all requests, refuses from the first second of an outage on.
-    // Events: it draws a 160th of the budget at a time, a second's worth, and the log goes out of reach 5 s after
-    // traffic begins.
-    // Cause: a draw ahead took no more than a part of an equal share, though the watermarks bound it already.
-    TEST_F(StockTest, ManySharersDontKeepABusyRouterFromItsWatermark)
+    // Failure: one VM of 81, with an eighth of all requests, refuses requests from the first second of an outage that
+    // begins 5 s after traffic does. Draws ahead of need were limited to a part of an equal share, a 160th of the
+    // budget or one second of its demand, although the watermarks already bound them.
+    TEST_F(PreallocationTest, ManySharersDoNotLimitABusyRouterWithWatermarks)
     {
         situation_.preallocated = false;
         situation_.sharers = 81;
@@ -130,7 +125,7 @@
         EXPECT_EQ(policy_->draw(situation_)->wanted, Tokens { 50'000 });
     }
 
-    TEST_F(StockTest, WatermarksAreThoseThatAreSet)
+    TEST_F(PreallocationTest, ConfiguredWatermarksApply)
     {
         situation_.preallocated = false;
         situation_.drawn = Tokens { 1 };
