--- a/tests/ledger/HolderFixture.h
+++ b/tests/ledger/HolderFixture.h
@@ -11,36 +11,36 @@
 
 namespace swiftlift::ledger {
 
-/** Alice's holder over the fixture's fold; her entries land when `land` is called. */
+/** Holder of the incarnation `alice` over the fixture's fold. Its entries land when `land` is called. */
 class HolderFixture : public FoldFixture {
 protected:
     HolderFixture() { environment.logReachable = true; }
 
     static Tokens tokens(std::int64_t count) { return Tokens { count }; }
 
-    /** Starts with a budget, and the surroundings told. */
-    void start(std::int64_t bought, std::string_view policy = "grants", const PolicySettings& figures = {})
+    /** Opens a budget, creates the holder and ticks it once. */
+    void start(std::int64_t bought, std::string_view policy = "grants", const PolicySettings& settings = {})
     {
         open(bought);
-        holder.emplace(alice, makePolicy(policy, figures), fold);
+        holder.emplace(alice, makePolicy(policy, settings), fold);
         tick();
     }
-    /** As above, in a fleet whose witnesses never close what they have sealed. */
+    /** Starts like `start`, in a fleet whose witnesses seal but never close grants. */
     void startSealOnly(std::int64_t bought)
     {
-        PolicySettings figures;
-        figures.witnessesClose = false;
-        start(bought, "grants", figures);
+        PolicySettings settings;
+        settings.witnessesClose = false;
+        start(bought, "grants", settings);
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         now += time;
         tick();
     }
     void tick() { holder->onTick(now, environment, actions); }
 
-    /** Lets all emitted entries land and be read back, and what they bring about as well. */
+    /** Appends all emitted entries and lets the holder read them back, until it emits no more. */
     void land()
     {
         while (const std::optional<Entry> entry = takeEntry())
@@ -63,28 +63,28 @@
         return std::get<Reservation>(result);
     }
 
-    /** Reserves, with a draw and a raise when they are needed. */
-    Reservation have(std::uint64_t key, std::int64_t amount)
+    /** Reserves tokens; lets draws land and raises be acknowledged until the reservation succeeds. */
+    Reservation reserveWithDraw(std::uint64_t key, std::int64_t amount)
     {
         std::optional<Reservation> reservation = reserve(key, amount);
         for (int tries = 0; !reservation && tries < 3; ++tries) {
             land();
-            acknowledge();
+            acknowledgeRaise();
             reservation = reserve(key, amount);
         }
         EXPECT_TRUE(reservation.has_value());
         return reservation.value_or(Reservation {});
     }
 
-    /** The witness acknowledges the latest raise. */
-    void acknowledge()
+    /** Delivers the witness's acknowledgement of the latest raise. */
+    void acknowledgeRaise()
     {
-        if (const auto raise = lastOf<SendRaise>())
+        if (const auto raise = lastAction<SendRaise>())
             holder->onCeilingsAcked(raise->to, raise->ceilings, now, actions);
     }
 
     /** @return The latest action of this kind since `actions` was cleared. */
-    template <typename Kind> std::optional<Kind> lastOf() const
+    template <typename Kind> std::optional<Kind> lastAction() const
     {
         std::optional<Kind> found;
         for (const LedgerAction& action : actions) {
@@ -106,6 +106,7 @@
         return found;
     }
 
+    /** Removes the oldest emitted entry from `actions` and returns it; nothing when there is none. */
     std::optional<Entry> takeEntry()
     {
         for (auto at = actions.begin(); at != actions.end(); ++at) {
@@ -118,7 +119,10 @@
         return {};
     }
 
-    HoldingView holding() const { return holder->holdings().empty() ? HoldingView {} : holder->holdings().front(); }
+    HoldingView firstHolding() const
+    {
+        return holder->holdings().empty() ? HoldingView {} : holder->holdings().front();
+    }
 
     Instant now {};
     HolderEnvironment environment;
--- a/tests/ledger/HolderLoanTest.cpp
+++ b/tests/ledger/HolderLoanTest.cpp
@@ -5,81 +5,81 @@
 
 using namespace std::chrono_literals;
 
-/** Alice as lender to Bob, or as borrower from Carol. */
+/** The holder `alice` as lender to `bob` or as borrower from `carol`. */
 class HolderLoanTest : public HolderFixture {
 protected:
     SendLoanGiven lendTo(Incarnation borrower, std::uint64_t loan, std::int64_t amount)
     {
         holder->onLoanAsk(borrower, loan, budget, tokens(amount), now, actions);
-        EXPECT_TRUE(lastOf<SendLoanGiven>());
-        return lastOf<SendLoanGiven>().value_or(SendLoanGiven {});
+        EXPECT_TRUE(lastAction<SendLoanGiven>());
+        return lastAction<SendLoanGiven>().value_or(SendLoanGiven {});
     }
 
-    /** Alice, cut off from the log, asks Carol. */
-    SendLoanAsk askCarol(std::int64_t amount)
+    /** Makes the log unreachable for `alice`, so that `alice` requests a loan from `carol`. */
+    SendLoanAsk requestLoanFromCarol(std::int64_t amount)
     {
         environment.logReachable = false;
         environment.lenders = { carol };
         tick();
         EXPECT_FALSE(reserve(1, amount));
         EXPECT_TRUE(lastShortage.pending);
-        return lastOf<SendLoanAsk>().value_or(SendLoanAsk {});
+        return lastAction<SendLoanAsk>().value_or(SendLoanAsk {});
     }
 
-    const GrantId carols { carol, 1 };
+    const GrantId carolsGrant { carol, 1 };
 };
 
 TEST_F(HolderLoanTest, CountsALoanUntilItIsDone)
 {
     start(1000);
-    have(1, 100);
-    const SendLoanGiven given = lendTo(bob, 7, 50);
-    EXPECT_EQ(holding().lent, given.amount);
+    reserveWithDraw(1, 100);
+    const SendLoanGiven loanGiven = lendTo(bob, 7, 50);
+    EXPECT_EQ(firstHolding().lent, loanGiven.amount);
     actions.clear();
-    EXPECT_EQ(lendTo(bob, 7, 50).amount, given.amount);
-    EXPECT_EQ(holding().lent, given.amount);
+    EXPECT_EQ(lendTo(bob, 7, 50).amount, loanGiven.amount);
+    EXPECT_EQ(firstHolding().lent, loanGiven.amount);
     holder->onLoanDone(bob, 7, tokens(20), now, actions);
-    EXPECT_TRUE(lastOf<SendLoanDoneAcked>());
-    EXPECT_EQ(holding().lent, tokens(0));
-    EXPECT_EQ(holding().billed, tokens(20));
+    EXPECT_TRUE(lastAction<SendLoanDoneAcked>());
+    EXPECT_EQ(firstHolding().lent, tokens(0));
+    EXPECT_EQ(firstHolding().billed, tokens(20));
     actions.clear();
     holder->onLoanDone(bob, 7, tokens(20), now, actions);
-    EXPECT_TRUE(lastOf<SendLoanDoneAcked>());
-    EXPECT_EQ(holding().billed, tokens(20));
+    EXPECT_TRUE(lastAction<SendLoanDoneAcked>());
+    EXPECT_EQ(firstHolding().billed, tokens(20));
     holder->onLoanAsk(bob, 7, budget, tokens(50), now, actions);
-    EXPECT_TRUE(lastOf<SendLoanDenied>());
+    EXPECT_TRUE(lastAction<SendLoanDenied>());
 }
 
-// Symptom: tokens stay lent for good. Sequence: the borrower gives up; its LoanDone overtakes its LoanAsk. Cause: a
-// lender that forgot the LoanDone would lend to one that no longer listens.
-TEST_F(HolderLoanTest, DeniesAnAskThatWasGivenUpBefore)
+// Failure: tokens stay lent forever, because a borrower's LoanDone for an abandoned request overtakes the request, and
+// the lender does not remember the LoanDone.
+TEST_F(HolderLoanTest, DeniesALoanRequestAbandonedBefore)
 {
     start(1000);
-    have(1, 100);
+    reserveWithDraw(1, 100);
     holder->onLoanDone(bob, 7, tokens(0), now, actions);
-    EXPECT_TRUE(lastOf<SendLoanDoneAcked>());
+    EXPECT_TRUE(lastAction<SendLoanDoneAcked>());
     holder->onLoanAsk(bob, 7, budget, tokens(50), now, actions);
-    EXPECT_TRUE(lastOf<SendLoanDenied>());
-    EXPECT_EQ(holding().lent, tokens(0));
+    EXPECT_TRUE(lastAction<SendLoanDenied>());
+    EXPECT_EQ(firstHolding().lent, tokens(0));
 }
 
-// Symptom: the fold refuses the borrower's bill, so an answered request is never paid for. Sequence: the borrower says
-// that the loan is done, the lender closes the grant, the borrower's bill lands. Cause: messages overtake the log.
+// Failure: the fold refuses a borrower's bill, so that an answered request is never charged, because LoanDone overtakes
+// the bill in the log and the lender closes the grant too early.
 TEST_F(HolderLoanTest, ClosesOnlyAfterTheBorrowersBills)
 {
     start(1000);
-    const Reservation reservation = have(1, 100);
-    const SendLoanGiven given = lendTo(bob, 1, 50);
+    const Reservation reservation = reserveWithDraw(1, 100);
+    const SendLoanGiven loanGiven = lendTo(bob, 1, 50);
     holder->settle(reservation, tokens(100), actions);
     environment.stopping = true;
     tick();
     holder->onLoanDone(bob, 1, tokens(50), now, actions);
     land();
     EXPECT_FALSE(holder->drained());
-    EXPECT_GE(grant(alice, given.grant.number).amount, tokens(150));
-    landAs(bob, Bill { keyOf(2), given.grant, tokens(30) });
+    EXPECT_GE(grant(alice, loanGiven.grant.number).amount, tokens(150));
+    landAs(bob, Bill { keyOf(2), loanGiven.grant, tokens(30) });
     EXPECT_FALSE(lastEntry<CloseGrant>());
-    landAs(bob, Bill { keyOf(3), given.grant, tokens(20) });
+    landAs(bob, Bill { keyOf(3), loanGiven.grant, tokens(20) });
     EXPECT_EQ(count<Refused>(), 0U);
     land();
     EXPECT_TRUE(holder->drained());
@@ -89,67 +89,66 @@
 TEST_F(HolderLoanTest, FreesABorrowersBillThatDidNotCount)
 {
     start(1000);
-    have(1, 100);
-    const SendLoanGiven given = lendTo(bob, 1, 50);
-    landAs(bob, Bill { keyOf(2), given.grant, tokens(10) });
-    landAs(bob, Bill { keyOf(2), given.grant, tokens(10) });
+    reserveWithDraw(1, 100);
+    const SendLoanGiven loanGiven = lendTo(bob, 1, 50);
+    landAs(bob, Bill { keyOf(2), loanGiven.grant, tokens(10) });
+    landAs(bob, Bill { keyOf(2), loanGiven.grant, tokens(10) });
     holder->onLoanDone(bob, 1, tokens(20), now, actions);
-    EXPECT_EQ(holding().billed, tokens(10));
+    EXPECT_EQ(firstHolding().billed, tokens(10));
 }
 
-// Symptom: a caller has had its whole answer and is told "unknown".
-// Sequence: in an outage a request runs on a loan; the lender dies, its witness closes the grant, the bill is refused.
-// Cause: the lender's witness had not promised to leave the grant open.
+// Failure: a caller receives its whole answer and then the result "unknown". In an outage the request ran on a loan,
+// the lender failed, and its witness closed the grant, which was not holder-only.
 TEST_F(HolderLoanTest, SpendsNoLoanInAnOutageThatTheLendersWitnessMayClose)
 {
     start(1000);
-    const SendLoanAsk ask = askCarol(100);
-    holder->onLoanGiven(carol, ask.loan, budget, carols, ask.amount, now, actions, false);
+    const SendLoanAsk request = requestLoanFromCarol(100);
+    holder->onLoanGiven(carol, request.loan, budget, carolsGrant, request.amount, now, actions, false);
     EXPECT_FALSE(reserve(1, 100));
 }
 
-TEST_F(HolderLoanTest, BorrowsSpendsAndGivesBack)
+TEST_F(HolderLoanTest, BorrowsSpendsAndReturns)
 {
     start(1000);
-    const SendLoanAsk ask = askCarol(100);
-    holder->onLoanGiven(carol, ask.loan, budget, carols, ask.amount, now, actions, true);
+    const SendLoanAsk request = requestLoanFromCarol(100);
+    holder->onLoanGiven(carol, request.loan, budget, carolsGrant, request.amount, now, actions, true);
     const std::optional<Reservation> reservation = reserve(1, 100);
     ASSERT_TRUE(reservation);
-    EXPECT_EQ(reservation->grant, carols);
+    EXPECT_EQ(reservation->grant, carolsGrant);
     EXPECT_TRUE(holder->isHolderOnly(*reservation));
     actions.clear();
-    pass(10s);
-    EXPECT_FALSE(lastOf<SendLoanDone>());
+    advance(10s);
+    EXPECT_FALSE(lastAction<SendLoanDone>());
     holder->settle(*reservation, tokens(60), actions);
     ASSERT_TRUE(lastEntry<Bill>());
-    EXPECT_EQ(lastEntry<Bill>()->grant, carols);
-    ASSERT_TRUE(lastOf<SendLoanDone>());
-    EXPECT_EQ(lastOf<SendLoanDone>()->billed, tokens(60));
+    EXPECT_EQ(lastEntry<Bill>()->grant, carolsGrant);
+    ASSERT_TRUE(lastAction<SendLoanDone>());
+    EXPECT_EQ(lastAction<SendLoanDone>()->billed, tokens(60));
     environment.lenders.clear();
     tick();
     EXPECT_FALSE(reserve(2, 10));
     actions.clear();
-    pass(1s);
-    EXPECT_TRUE(lastOf<SendLoanDone>());
-    holder->onLoanDoneAcked(carol, ask.loan, now, actions);
+    advance(1s);
+    EXPECT_TRUE(lastAction<SendLoanDone>());
+    holder->onLoanDoneAcked(carol, request.loan, now, actions);
     actions.clear();
-    pass(10s);
-    EXPECT_FALSE(lastOf<SendLoanDone>());
+    advance(10s);
+    EXPECT_FALSE(lastAction<SendLoanDone>());
 }
 
-// Symptom: tokens stay lent for good. Sequence: the lender's answer comes after the borrower gave up. Cause: only the
-// borrower can say that it will not spend them.
+// Failure: tokens stay lent forever, because the lender's answer arrives after the borrower has abandoned the request,
+// and only the borrower can return them.
 TEST_F(HolderLoanTest, AnswersALateLoanWithDone)
 {
     start(1000);
-    const SendLoanAsk ask = askCarol(100);
-    pass(600ms);
-    ASSERT_TRUE(lastOf<SendLoanDone>());
-    EXPECT_EQ(lastOf<SendLoanDone>()->billed, tokens(0));
-    holder->onLoanDoneAcked(carol, ask.loan, now, actions);
+    const SendLoanAsk request = requestLoanFromCarol(100);
+    advance(600ms);
+    ASSERT_TRUE(lastAction<SendLoanDone>());
+    EXPECT_EQ(lastAction<SendLoanDone>()->billed, tokens(0));
+    holder->onLoanDoneAcked(carol, request.loan, now, actions);
     actions.clear();
-    holder->onLoanGiven(carol, ask.loan, budget, carols, ask.amount, now, actions);
-    ASSERT_TRUE(lastOf<SendLoanDone>());
+    holder->onLoanGiven(carol, request.loan, budget, carolsGrant, request.amount, now, actions);
+    ASSERT_TRUE(lastAction<SendLoanDone>());
     EXPECT_FALSE(reserve(1, 100));
 }
 
@@ -160,20 +159,19 @@
     environment.logReachable = false;
     tick();
     EXPECT_FALSE(reserve(1, 100));
-    EXPECT_EQ(lastOf<SendLoanAsk>()->to, carol);
-    holder->onLoanDenied(carol, lastOf<SendLoanAsk>()->loan, budget, tokens(0), now, actions);
-    EXPECT_EQ(lastOf<SendLoanAsk>()->to, bob);
-    holder->onLoanDenied(bob, lastOf<SendLoanAsk>()->loan, budget, tokens(0), now, actions);
+    EXPECT_EQ(lastAction<SendLoanAsk>()->to, carol);
+    holder->onLoanDenied(carol, lastAction<SendLoanAsk>()->loan, budget, tokens(0), now, actions);
+    EXPECT_EQ(lastAction<SendLoanAsk>()->to, bob);
+    holder->onLoanDenied(bob, lastAction<SendLoanAsk>()->loan, budget, tokens(0), now, actions);
     EXPECT_FALSE(reserve(1, 100));
     EXPECT_FALSE(lastShortage.pending);
-    EXPECT_EQ(lastShortage.reason, ShortReason::BudgetElsewhere);
+    EXPECT_EQ(lastShortage.reason, ShortReason::TokensHeldElsewhere);
 }
 
-// Symptom: a VM that gets most of an account's requests refuses them in an outage, while ten others hold what nobody
-// asks them for.
-// Sequence: three lenders give a part each; the fourth is not asked before a second has gone by.
-// Cause: a round of lenders was followed by a pause also when they had given.
-TEST_F(HolderLoanTest, GoesOnBorrowingAsLongAsLendersGive)
+// Failure: in an outage, a VM that gets most of an account's requests refuses them while ten others hold unused tokens.
+// After loans from three lenders, the fourth was asked only a second later, because the pause after a round of lenders
+// also applied when they had lent.
+TEST_F(HolderLoanTest, KeepsBorrowingWhileLendersLend)
 {
     start(1000);
     environment.lenders = { carol, bob };
@@ -183,77 +181,74 @@
     for (std::uint64_t key = 1; key <= 5; ++key) {
         actions.clear();
         EXPECT_FALSE(reserve(key, 100));
-        const auto ask = lastOf<SendLoanAsk>();
-        ASSERT_TRUE(ask);
-        asked.push_back(ask->to);
-        const GrantId grant { ask->to, static_cast<std::uint32_t>(key) };
-        holder->onLoanGiven(ask->to, ask->loan, budget, grant, tokens(100), now, actions, true);
+        const auto request = lastAction<SendLoanAsk>();
+        ASSERT_TRUE(request);
+        asked.push_back(request->to);
+        const GrantId grant { request->to, static_cast<std::uint32_t>(key) };
+        holder->onLoanGiven(request->to, request->loan, budget, grant, tokens(100), now, actions, true);
         EXPECT_TRUE(reserve(key, 100));
     }
     EXPECT_EQ(asked, (std::vector { carol, bob, carol, bob, carol }));
 }
 
-// Symptom: requests wait half a second for each lender that is out of reach, and are refused.
-// Sequence: a failure domain is cut off; its VMs are still taken for alive; the first lender asked is one of them.
-// Cause: the next lender was asked only once the first had been given up.
-TEST_F(HolderLoanTest, AsksAnotherBesideALenderThatIsSlow)
+// Failure: requests wait half a second for each unreachable lender and are refused. The VMs of an unreachable failure
+// domain still counted as alive, and the next lender was asked only after the request to the first was abandoned.
+TEST_F(HolderLoanTest, AsksAnotherLenderWhenOneIsSlow)
 {
     start(1000);
     environment.lenders = { carol, bob };
     environment.logReachable = false;
     tick();
     EXPECT_FALSE(reserve(1, 100));
-    EXPECT_EQ(lastOf<SendLoanAsk>()->to, carol);
-    pass(20ms);
-    EXPECT_EQ(lastOf<SendLoanAsk>()->to, carol);
-    pass(50ms);
-    ASSERT_EQ(lastOf<SendLoanAsk>()->to, bob);
-    const std::uint64_t loan = lastOf<SendLoanAsk>()->loan;
+    EXPECT_EQ(lastAction<SendLoanAsk>()->to, carol);
+    advance(20ms);
+    EXPECT_EQ(lastAction<SendLoanAsk>()->to, carol);
+    advance(50ms);
+    ASSERT_EQ(lastAction<SendLoanAsk>()->to, bob);
+    const std::uint64_t loan = lastAction<SendLoanAsk>()->loan;
     holder->onLoanGiven(bob, loan, budget, GrantId { bob, 1 }, tokens(100), now, actions, true);
     EXPECT_TRUE(reserve(1, 100));
 }
 
-// Symptom: for a second and more after the log is lost nobody lends, though no witness of this fleet closes grants.
-// Sequence: the log goes out of reach; a peer asks for a loan from a witnessed grant.
-// Cause: a promise not to close was waited for that nobody has to give.
+// Failure: for more than a second after the log became unreachable no holder lends from witnessed grants, because the
+// lender waits for its grant to become holder-only, although no witness of this fleet closes grants.
 TEST_F(HolderLoanTest, LendsAndSpendsAtOnceWhereWitnessesOnlySeal)
 {
     environment.witness = bob;
     startSealOnly(1000);
-    have(1, 100);
+    reserveWithDraw(1, 100);
     environment.logReachable = false;
     tick();
-    acknowledge();
+    acknowledgeRaise();
     EXPECT_FALSE(lendTo(carol, 7, 50).holderOnly);
 
     environment.lenders = { carol };
     tick();
     EXPECT_FALSE(reserve(2, 900));
-    const auto ask = lastOf<SendLoanAsk>();
-    ASSERT_TRUE(ask);
-    holder->onLoanGiven(carol, ask->loan, budget, carols, tokens(900), now, actions, false);
+    const auto request = lastAction<SendLoanAsk>();
+    ASSERT_TRUE(request);
+    holder->onLoanGiven(carol, request->loan, budget, carolsGrant, tokens(900), now, actions, false);
     EXPECT_TRUE(reserve(2, 900));
 }
 
-// Symptom: 90 loans a second of 1 to 800 tokens go to and fro, and no request is covered by them.
-// Sequence: an outage has used up most of what is held; a peer asks for a loan; what is left here fits no request.
-// Cause: a lender gave whatever it had.
-TEST_F(HolderLoanTest, DeniesWhatNoRequestWouldFit)
+// Failure: 90 loans per second of 1 to 800 tokens are lent and returned without covering any request. In a long outage
+// the lenders had little left and lent all of it, although it was too small for any request.
+TEST_F(HolderLoanTest, DeniesLoansTooSmallForAnyRequest)
 {
     start(1000);
-    const Reservation reservation = have(1, 320);
+    const Reservation reservation = reserveWithDraw(1, 320);
     environment.logReachable = false;
     tick();
-    const Tokens left = holding().amount - holding().reserved;
-    have(2, left.value() - 10);
+    const Tokens left = firstHolding().amount - firstHolding().reserved;
+    reserveWithDraw(2, left.value() - 10);
     actions.clear();
     holder->onLoanAsk(bob, 7, budget, tokens(400), now, actions);
-    EXPECT_FALSE(lastOf<SendLoanGiven>());
-    EXPECT_TRUE(lastOf<SendLoanDenied>());
+    EXPECT_FALSE(lastAction<SendLoanGiven>());
+    EXPECT_TRUE(lastAction<SendLoanDenied>());
     holder->settle(reservation, tokens(0), actions);
 }
 
-TEST(LoanLedgerTest, ForgetsFinishedLoansOnly)
+TEST(LoanAnswerHistoryTest, DropsOnlyFinishedLoans)
 {
     internal::LoanAnswerHistory ledger;
     const internal::LoanAnswer open { GrantId { Incarnation { 1 }, 1 }, Tokens { 5 }, {}, false };
@@ -268,25 +263,24 @@
     EXPECT_TRUE(ledger.find(Incarnation { 2000 }, 1));
 }
 
-// Symptom: in a long outage each caller is held for a fifth of a second, and refused.
-// Events: all lenders are asked each second, and none has anything to lend.
-// Cause: an ask in flight was always waited for.
-TEST_F(HolderLoanTest, LendersThatHadNothingAreNotWaitedFor)
+// Failure: in a long outage each caller waits a fifth of a second and is refused. All lenders were asked every second
+// without having anything to lend, and requests always waited for a loan request in flight.
+TEST_F(HolderLoanTest, DoesNotWaitForLendersAfterAFailedRound)
 {
     start(1000);
     environment.logReachable = false;
     environment.lenders = { bob };
     tick();
     EXPECT_FALSE(reserve(1, 100));
-    const auto ask = lastOf<SendLoanAsk>();
-    ASSERT_TRUE(ask);
+    const auto request = lastAction<SendLoanAsk>();
+    ASSERT_TRUE(request);
     EXPECT_TRUE(lastShortage.pending);
-    holder->onLoanDenied(bob, ask->loan, budget, tokens(0), now, actions);
+    holder->onLoanDenied(bob, request->loan, budget, tokens(0), now, actions);
     holder->withdraw(budget, keyOf(1), now);
-    pass(std::chrono::milliseconds { 1100 });
+    advance(std::chrono::milliseconds { 1100 });
     actions.clear();
     EXPECT_FALSE(reserve(2, 100));
-    EXPECT_TRUE(lastOf<SendLoanAsk>()) << "asked all the same, for those who come later";
+    EXPECT_TRUE(lastAction<SendLoanAsk>()) << "a lender is asked all the same, for requests that come later";
     EXPECT_FALSE(lastShortage.pending);
 }
 
--- a/tests/ledger/HolderPropertyTest.cpp
+++ b/tests/ledger/HolderPropertyTest.cpp
@@ -21,16 +21,16 @@
         setup.bought = 40;
         setup.budgets = 2;
         setup.chunk = 9;
-        setup.headRoom = 3;
-        setup.keep = 6;
+        setup.headroom = 3;
+        setup.maxFree = 6;
         for (std::uint64_t index = 0; index < 60; ++index) {
             const auto amount = static_cast<std::int64_t>(index % 5 + 1);
-            // Every fourth key runs twice, at different nodes.
+            // The request of every fourth key runs twice, at different nodes.
             const std::uint64_t key = index % 4 == 0 ? index / 2 : index;
             setup.requests.push_back({ index % nodes, key, Tokens { amount },
                 Tokens { std::max<std::int64_t>(amount - 1, 1) }, static_cast<std::size_t>(key % 2) });
         }
-        setup.cutOff = { 2 };
+        setup.withoutLog = { 2 };
         setup.witnesses = { { 1, 2, std::nullopt, 1 }, { 0, std::nullopt, 2, 0 }, { 0, 1 } };
         setup.mayCrash = { 0 };
         setup.mayStop = { 1 };
@@ -40,7 +40,7 @@
         return setup;
     }
 
-    /** One run: chooses steps so that most of them move something on. */
+    /** Chooses the steps of one run at random, weighted so that most of them make progress. */
     class Driver {
     public:
         explicit Driver(std::uint64_t seed)
@@ -62,7 +62,7 @@
         }
 
     private:
-        /** Crash, stop, suspicion and change of witness are rare; so is a message that has been delivered before. */
+        /** Crashes, stops, suspicions, changes of witness and repeated deliveries of a message are rare. */
         double weightOf(const World& world, const Step& step) const
         {
             switch (step.kind) {
@@ -96,14 +96,14 @@
 
     void run(const Setup& setup)
     {
-        const Behaviour sound;
-        World world(setup, sound);
+        const FaultInjection noFaults;
+        World world(setup, noFaults);
         Driver driver(*rc::gen::noShrink(rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<std::uint64_t>())));
         std::vector<std::string> schedule;
         for (int step = 0; step < steps && !world.enabled().empty(); ++step) {
             const Step next = driver.pick(world);
             schedule.push_back(world.describe(next));
-            world.take(next);
+            world.execute(next);
             if (const std::string violation = world.violation(); !violation.empty()) {
                 for (const std::string& line : schedule)
                     std::cout << "  " << line << '\n';
--- a/tests/ledger/HolderTest.cpp
+++ b/tests/ledger/HolderTest.cpp
@@ -15,11 +15,11 @@
     EXPECT_TRUE(lastShortage.pending);
     EXPECT_FALSE(reserve(1, 100));
     land();
-    EXPECT_TRUE(lastOf<TokensAvailable>());
+    EXPECT_TRUE(lastAction<TokensAvailable>());
     EXPECT_TRUE(reserve(1, 100));
 }
 
-TEST_F(HolderTest, HasOneDrawOfABudgetInFlight)
+TEST_F(HolderTest, AllowsOneDrawPerBudgetInFlight)
 {
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
@@ -36,8 +36,8 @@
     EXPECT_FALSE(reserve(1, 100));
     land();
     EXPECT_FALSE(reserve(1, 100));
-    ASSERT_TRUE(lastOf<SendRaise>());
-    const GrantId grant = lastOf<SendRaise>()->ceilings.front().grant;
+    ASSERT_TRUE(lastAction<SendRaise>());
+    const GrantId grant = lastAction<SendRaise>()->ceilings.front().grant;
     holder->onCeilingsAcked(carol, { { grant, tokens(1000) } }, now, actions);
     EXPECT_FALSE(reserve(1, 100));
     holder->onCeilingsAcked(bob, { { grant, tokens(150) } }, now, actions);
@@ -46,80 +46,79 @@
     EXPECT_TRUE(reserve(3, 50));
 }
 
-// Symptom: a request is refused though its raise was sent. Sequence: the raise, or its answer, is lost. Cause: nothing
-// but the holder's own repeat would bring it again.
-TEST_F(HolderTest, RepeatsARaise)
+// Failure: a request is refused because the raise of its ceiling, or the answer, was lost and never repeated.
+TEST_F(HolderTest, RetriesAnUnansweredRaise)
 {
     environment.witness = bob;
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
     land();
     actions.clear();
-    pass(100ms);
-    EXPECT_TRUE(lastOf<SendRaise>());
+    advance(100ms);
+    EXPECT_TRUE(lastAction<SendRaise>());
 }
 
-// Symptom: a holder passes the ceiling that its new witness seals. Sequence: a raise is under way, the witness is
-// changed, the old witness's answer comes late. Cause: the old one's word no longer binds the seal.
-TEST_F(HolderTest, TakesNoRaiseOfAnOldWitness)
+// Failure: a holder exceeds the ceiling at which its new witness seals, because it accepts an acknowledgement of the
+// old witness that arrives after the change of witness.
+TEST_F(HolderTest, IgnoresAcknowledgementsOfTheOldWitness)
 {
     environment.witness = bob;
     start(1000);
-    const Reservation reservation = have(1, 100);
-    const Tokens ceiling = holding().ceiling;
+    const Reservation reservation = reserveWithDraw(1, 100);
+    const Tokens ceiling = firstHolding().ceiling;
     environment.witness = carol;
     tick();
-    pass(4s);
+    advance(4s);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
     EXPECT_EQ(lastEntry<ChangeWitness>()->ceiling, ceiling);
     holder->onCeilingsAcked(bob, { { reservation.grant, tokens(900) } }, now, actions);
-    EXPECT_EQ(holding().ceiling, ceiling);
+    EXPECT_EQ(firstHolding().ceiling, ceiling);
     land();
     holder->onCeilingsAcked(bob, { { reservation.grant, tokens(900) } }, now, actions);
-    EXPECT_EQ(holding().ceiling, ceiling);
+    EXPECT_EQ(firstHolding().ceiling, ceiling);
     holder->onCeilingsAcked(carol, { { reservation.grant, tokens(150) } }, now, actions);
-    EXPECT_EQ(holding().ceiling, std::max(ceiling, tokens(150)));
+    EXPECT_EQ(firstHolding().ceiling, std::max(ceiling, tokens(150)));
 }
 
-// Symptom: a cut-off holder refuses though its grant has plenty. Sequence: its witness dies, then the log comes back.
-// Cause: the ceiling would stay where the dead witness left it.
-TEST_F(HolderTest, NamesAnotherWitnessWhenOneIsSilent)
+// Failure: a holder without the log refuses requests although its grant has enough tokens. Its witness failed, and
+// after the log was reachable again the ceiling stayed where the failed witness had left it.
+TEST_F(HolderTest, ReplacesAWitnessThatDoesNotAnswer)
 {
     environment.witness = bob;
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
     land();
     environment.witness.reset();
-    pass(1100ms);
+    advance(1100ms);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
     land();
     EXPECT_TRUE(reserve(1, 100));
 }
 
-// Symptom: a holder is above the sealed ceiling. Sequence: a grant without a witness gets one, which seals at the
-// ceiling of the change. Cause: until then the whole grant was spendable.
-TEST_F(HolderTest, IsBoundAsSoonAsItNamesItsFirstWitness)
+// Failure: a holder exceeds the sealed ceiling, because it goes on spending the whole of an unwitnessed grant after it
+// has named a first witness, which then seals at the ceiling of the change.
+TEST_F(HolderTest, CeilingAppliesOnceTheFirstWitnessIsNamed)
 {
     start(10000);
-    have(1, 100);
+    reserveWithDraw(1, 100);
     environment.witness = bob;
     tick();
-    pass(4s);
+    advance(4s);
     ASSERT_TRUE(lastEntry<ChangeWitness>());
     const Tokens ceiling = lastEntry<ChangeWitness>()->ceiling;
-    EXPECT_LT(ceiling, holding().amount);
-    EXPECT_EQ(holding().ceiling, ceiling);
+    EXPECT_LT(ceiling, firstHolding().amount);
+    EXPECT_EQ(firstHolding().ceiling, ceiling);
     land();
-    EXPECT_EQ(holding().ceiling, ceiling);
+    EXPECT_EQ(firstHolding().ceiling, ceiling);
 }
 
 TEST_F(HolderTest, SettlesAndClosesASealedGrant)
 {
     environment.witness = bob;
     start(1000);
-    const Reservation reservation = have(1, 100);
-    landAs(bob, Seal { reservation.grant, bob, holding().ceiling });
-    EXPECT_TRUE(lastOf<Retired>());
+    const Reservation reservation = reserveWithDraw(1, 100);
+    landAs(bob, Seal { reservation.grant, bob, firstHolding().ceiling });
+    EXPECT_TRUE(lastAction<Retired>());
     EXPECT_FALSE(reserve(2, 1));
     EXPECT_FALSE(lastEntry<CloseGrant>());
     holder->settle(reservation, tokens(60), actions);
@@ -132,7 +131,7 @@
 TEST_F(HolderTest, FreesABillThatDidNotCount)
 {
     start(100);
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     landAs(bob, Draw { grantOf(bob, 1), budget, {}, {}, {} });
     landAs(bob, Bill { reservation.key, reservation.grant, tokens(0) });
     holder->settle(reservation, tokens(80), actions);
@@ -141,56 +140,56 @@
     EXPECT_TRUE(reserve(2, 100));
 }
 
-TEST_F(HolderTest, GivesBackWhatOthersLackAndIsCautiousThen)
+TEST_F(HolderTest, ReturnsTokensForOthersShortfallAndDrawsNoMore)
 {
     start(1000);
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     holder->settle(reservation, tokens(100), actions);
     land();
     actions.clear();
     landAs(bob, Draw { grantOf(bob, 1), budget, tokens(900), tokens(900), {} });
-    EXPECT_TRUE(lastEntry<CloseGrant>()) << "all that is free here is less than what bob lacks";
+    EXPECT_TRUE(lastEntry<CloseGrant>()) << "all that is free here is less than what bob is short of";
     land();
     EXPECT_EQ(fold.budget(budget)->available(), tokens(900));
     EXPECT_FALSE(lastEntry<Draw>());
 }
 
-TEST_F(HolderTest, GivesBackNoMoreThanOthersLack)
+TEST_F(HolderTest, ReturnsNoMoreThanOthersShortfall)
 {
     start(1000);
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     holder->settle(reservation, tokens(100), actions);
     land();
-    const Tokens before = holding().amount;
+    const Tokens before = firstHolding().amount;
     const Tokens available = fold.budget(budget)->available();
     actions.clear();
     landAs(bob, Draw { grantOf(bob, 1), budget, available + tokens(10), available + tokens(10), {} });
     ASSERT_TRUE(lastEntry<Return>());
     EXPECT_EQ(lastEntry<Return>()->amount, tokens(10));
-    EXPECT_EQ(holding().amount, before - tokens(10));
+    EXPECT_EQ(firstHolding().amount, before - tokens(10));
 }
 
-// Symptom: refused with 60 free here, 40 there. Sequence: two grants have remainders too small each. Cause: a request
-// is covered by one grant.
-TEST_F(HolderTest, GathersRemaindersIntoOneGrant)
+// Failure: a request is refused although two grants, with 60 and 40 free tokens, would cover it together: each request
+// is covered by a single grant.
+TEST_F(HolderTest, ConsolidatesRemaindersIntoOneGrant)
 {
     start(200);
-    const Reservation first = have(1, 90);
-    const Reservation second = have(2, 90);
+    const Reservation first = reserveWithDraw(1, 90);
+    const Reservation second = reserveWithDraw(2, 90);
     holder->settle(first, tokens(20), actions);
     holder->settle(second, tokens(20), actions);
-    EXPECT_NO_FATAL_FAILURE(have(3, 150));
+    EXPECT_NO_FATAL_FAILURE(reserveWithDraw(3, 150));
 }
 
 TEST_F(HolderTest, ClosesAfterTheLastBillWhenStopping)
 {
     start(1000);
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     environment.stopping = true;
     tick();
     land();
     EXPECT_FALSE(holder->drained());
-    EXPECT_EQ(holding().amount, tokens(100));
+    EXPECT_EQ(firstHolding().amount, tokens(100));
     holder->settle(reservation, tokens(70), actions);
     ASSERT_TRUE(lastEntry<CloseGrant>());
     EXPECT_FALSE(holder->drained());
@@ -199,7 +198,7 @@
     EXPECT_EQ(view().held, tokens(70));
 }
 
-TEST_F(HolderTest, TellsExhaustedFromElsewhere)
+TEST_F(HolderTest, DistinguishesExhaustedFromHeldElsewhere)
 {
     start(100);
     EXPECT_FALSE(reserve(1, 101));
@@ -207,7 +206,7 @@
     EXPECT_FALSE(lastShortage.pending);
     landAs(bob, Draw { grantOf(bob, 1), budget, tokens(100), {}, {} });
     EXPECT_FALSE(reserve(2, 50));
-    EXPECT_EQ(lastShortage.reason, ShortReason::BudgetElsewhere);
+    EXPECT_EQ(lastShortage.reason, ShortReason::TokensHeldElsewhere);
     EXPECT_TRUE(lastShortage.pending);
     now += 1900ms;
     EXPECT_FALSE(reserve(2, 50));
@@ -218,22 +217,21 @@
     EXPECT_FALSE(lastShortage.pending && !lastEntry<Draw>());
 }
 
-TEST_F(HolderTest, AsksForTheWholeGrantWhileTheLogIsUnreachable)
+TEST_F(HolderTest, RaisesToTheWholeGrantWhileTheLogIsUnreachable)
 {
     environment.witness = bob;
     start(1000);
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     environment.logReachable = false;
-    pass(1s);
-    ASSERT_TRUE(lastOf<SendRaise>());
-    EXPECT_EQ(lastOf<SendRaise>()->ceilings.front().ceiling, holding().amount);
-    EXPECT_EQ(reservation.grant, holding().grant);
+    advance(1s);
+    ASSERT_TRUE(lastAction<SendRaise>());
+    EXPECT_EQ(lastAction<SendRaise>()->ceilings.front().ceiling, firstHolding().amount);
+    EXPECT_EQ(reservation.grant, firstHolding().grant);
 }
 
-// Symptom: one holder draws half of what is left of a budget, again and again, and hardly any of it is ever billed.
-// Events: money is short for two seconds; 40 callers are refused and come back; then the money comes.
-// Cause: each refused try counted as demand and went on waiting for two more seconds.
-TEST_F(HolderTest, ARefusedRequestIsNoDemandAndWaitsNoMore)
+// Failure: one holder draws half of the remaining budget again and again, and hardly any of it is billed. Tokens were
+// short for two seconds, and each refused try of 40 callers counted as demand and kept waiting for two more seconds.
+TEST_F(HolderTest, WithdrawnRequestsAddNoDemand)
 {
     startSealOnly(10'000'000);
     environment.logReachable = false;
@@ -242,7 +240,7 @@
         EXPECT_FALSE(reserve(key, 10'000));
         holder->withdraw(budget, keyOf(key), now);
     }
-    pass(std::chrono::milliseconds { 100 });
+    advance(std::chrono::milliseconds { 100 });
     environment.logReachable = true;
     tick();
     EXPECT_FALSE(lastEntry<Draw>());
@@ -251,14 +249,14 @@
     EXPECT_LT(lastEntry<Draw>()->wanted, tokens(100'000));
 }
 
-// Symptom: at the end of a budget each caller is held for nearly half a second, and refused.
-// Events: what is left is held by routers that have died; each second the others are told that money is short here.
-// Cause: every such signal was waited for, though none of them was ever answered.
-TEST_F(HolderTest, SignalsThatNobodyAnswersAreNotWaitedFor)
+// Failure: at the end of a budget each caller waits nearly half a second and is refused. The remaining tokens are held
+// by failed routers, a shortage signal is sent every second, and requests wait for each signal although none of them
+// was ever answered.
+TEST_F(HolderTest, DoesNotWaitForUnansweredShortageSignals)
 {
     start(1000);
     draw(bob, 1, 900);
-    const auto ask = [&](std::uint64_t key) {
+    const auto waitsWhenShort = [&](std::uint64_t key) {
         EXPECT_FALSE(reserve(key, 500));
         land();
         EXPECT_FALSE(reserve(key, 500));
@@ -266,66 +264,63 @@
         holder->withdraw(budget, keyOf(key), now);
         return pending;
     };
-    EXPECT_TRUE(ask(1)) << "the first waits for an answer";
-    pass(std::chrono::milliseconds { 1100 });
-    EXPECT_FALSE(ask(2));
-    pass(std::chrono::milliseconds { 1100 });
-    EXPECT_FALSE(ask(3));
+    EXPECT_TRUE(waitsWhenShort(1)) << "the first waits for an answer";
+    advance(std::chrono::milliseconds { 1100 });
+    EXPECT_FALSE(waitsWhenShort(2));
+    advance(std::chrono::milliseconds { 1100 });
+    EXPECT_FALSE(waitsWhenShort(3));
     take(bob, Return { grantOf(bob, 1), tokens(800) });
-    pass(std::chrono::milliseconds { 1100 });
-    (void)have(4, 500);
-    pass(std::chrono::milliseconds { 1100 });
-    EXPECT_TRUE(ask(5)) << "there was an answer since";
+    advance(std::chrono::milliseconds { 1100 });
+    (void)reserveWithDraw(4, 500);
+    advance(std::chrono::milliseconds { 1100 });
+    EXPECT_TRUE(waitsWhenShort(5)) << "there was an answer since";
 }
 
-// Symptom: in a few seconds after an outage one router draws half of a budget, half of the rest, and so on, and refuses
-// its callers all the while.
-// Events: the witness reads the log late and answers no raise; requests wait.
-// Cause: what the witness held up did not count as held, and each new grant named the same witness.
-TEST_F(HolderTest, ASilentWitnessIsNoReasonToDrawTheBudget)
+// Failure: within seconds after an outage one router draws half of a budget, half of the rest, and so on, while it
+// refuses requests. Its witness has a backlog of the log and answers no raise, tokens above the ceiling do not count as
+// held, and each new grant names the same witness.
+TEST_F(HolderTest, SilentWitnessCausesNoRepeatedDraws)
 {
-    PolicySettings figures;
-    figures.witnessesClose = false;
-    figures.watermarks = Watermarks { 8, 10 };
-    start(10'000'000, "grants", figures);
+    PolicySettings settings;
+    settings.witnessesClose = false;
+    settings.watermarks = Watermarks { 8, 10 };
+    start(10'000'000, "grants", settings);
     environment.witness = bob;
-    pass(std::chrono::seconds { 4 });
+    advance(std::chrono::seconds { 4 });
     std::uint64_t key = 0;
     int served = 0;
     for (int step = 0; step < 40; ++step) {
-        pass(std::chrono::milliseconds { 50 });
+        advance(std::chrono::milliseconds { 50 });
         served += reserve(++key, 1'000) ? 1 : 0;
         land();
     }
     const auto view = fold.budget(budget);
     ASSERT_TRUE(view);
     EXPECT_LT(view->held, tokens(2'000'000)) << "20,000 tokens a second are asked for";
-    EXPECT_GT(served, 15) << "once the witness is known to be silent, grants name nobody";
+    EXPECT_GT(served, 15) << "once the witness is known to be silent, grants name nobody as witness";
 }
 
-// Symptom: after an outage a hundred callers are each held for 600 ms and refused then.
-// Events: a draw stands behind the bills of the outage and is not read back for a second.
-// Cause: every request waited for it, however late it was already.
-TEST_F(HolderTest, AnOverdueDrawIsNotWaitedFor)
+// Failure: after an outage a hundred callers each wait 600 ms and are refused. A draw queues behind the bills of the
+// outage and is read back only a second later, and every request waits for it, however late it already is.
+TEST_F(HolderTest, DoesNotWaitForAnOverdueDraw)
 {
     startSealOnly(10'000'000);
     EXPECT_FALSE(reserve(1, 100));
     EXPECT_TRUE(lastShortage.pending);
-    pass(std::chrono::milliseconds { 150 });
+    advance(std::chrono::milliseconds { 150 });
     EXPECT_FALSE(reserve(2, 100));
     EXPECT_TRUE(lastShortage.pending);
-    pass(std::chrono::milliseconds { 100 });
+    advance(std::chrono::milliseconds { 100 });
     EXPECT_FALSE(reserve(3, 100));
     EXPECT_FALSE(lastShortage.pending) << "twice as late as draws usually are";
     land();
-    acknowledge();
+    acknowledgeRaise();
     EXPECT_TRUE(reserve(4, 100));
 }
 
-// Symptom: a router that has a hundred requests in line falls behind with the ledger, and refuses them all.
-// Events: each of them asks again with each bill that is read.
-// Cause: each repeat did the whole work of the budget, over all that waits.
-TEST_F(HolderTest, ARepeatEmitsNothingNew)
+// Failure: a router with a hundred waiting requests falls behind in reading the ledger and refuses all of them, because
+// each request is retried with each bill read, and each retry processed all waiting requests of the budget.
+TEST_F(HolderTest, RetryEmitsNoActions)
 {
     start(1000);
     EXPECT_FALSE(reserve(1, 100));
@@ -334,11 +329,11 @@
     EXPECT_TRUE(actions.empty());
 }
 
-TEST_F(HolderTest, TellsTheLargestAmountThatOneRequestCouldHave)
+TEST_F(HolderTest, SpendableIsTheLargestReservableAmount)
 {
     start(1000);
     EXPECT_EQ(holder->spendable(budget), tokens(0));
-    const Reservation reservation = have(1, 100);
+    const Reservation reservation = reserveWithDraw(1, 100);
     const Tokens left = holder->spendable(budget);
     const bool fits = left == tokens(0) || reserve(2, left.value()).has_value();
     EXPECT_TRUE(fits);
@@ -352,26 +347,27 @@
     start(800, "static_split");
     EXPECT_FALSE(reserve(1, 60));
     land();
-    EXPECT_EQ(holding().amount, tokens(100));
+    EXPECT_EQ(firstHolding().amount, tokens(100));
     EXPECT_TRUE(reserve(1, 60));
     EXPECT_FALSE(reserve(2, 60));
     EXPECT_FALSE(lastEntry<Draw>());
     EXPECT_FALSE(lastShortage.pending);
 }
 
-TEST_F(HolderTest, AppendPerRequestGivesTheRestBackAtOnce)
+TEST_F(HolderTest, AppendPerRequestReturnsTheRestAtOnce)
 {
     start(1000, "append_per_request");
-    const Reservation reservation = have(1, 100);
-    EXPECT_EQ(holding().amount, tokens(100));
+    const Reservation reservation = reserveWithDraw(1, 100);
+    EXPECT_EQ(firstHolding().amount, tokens(100));
     holder->settle(reservation, tokens(30), actions);
     land();
     EXPECT_EQ(view().held, tokens(30));
     EXPECT_TRUE(holder->drained());
 }
 
-// 10 requests of 440 tokens a second, of which 300 are billed, for two minutes: a draw must cover many requests.
-TEST_F(HolderTest, SteadyDemandDrawsAndRaisesSeldom)
+// For two minutes, 10 requests per second reserve 440 tokens each, of which 300 are billed: a draw has to cover many
+// requests.
+TEST_F(HolderTest, SteadyDemandNeedsFewDrawsAndRaises)
 {
     environment.witness = bob;
     start(10'000'000);
@@ -385,11 +381,11 @@
             holder->settle(*running, tokens(300), actions);
         running = reserve(key, 440);
         refused += running ? 0 : 1;
-        pass(100ms);
+        advance(100ms);
         draws += lastEntry<Draw>() ? 1 : 0;
-        raises += lastOf<SendRaise>() ? 1 : 0;
+        raises += lastAction<SendRaise>() ? 1 : 0;
         land();
-        acknowledge();
+        acknowledgeRaise();
         actions.clear();
     }
     std::cout << draws << " draws, " << raises << " raises, " << refused << " short of " << requests << " requests\n";
@@ -399,13 +395,13 @@
     EXPECT_LE(holder->holdings().size(), 3U);
 }
 
-TEST(HoldingPolicyTest, UnknownNameIsNoPolicy)
+TEST(HoldingPolicyTest, UnknownNameGivesNull)
 {
     EXPECT_EQ(makePolicy("fixed_chunks", {}), nullptr);
     EXPECT_NE(makePolicy("grants", {}), nullptr);
 }
 
-TEST(HoldingPolicyTest, DrawsNoMoreAheadThanAFairShare)
+TEST(HoldingPolicyTest, DrawAheadOfNeedIsBoundedByAFairShare)
 {
     const auto policy = makePolicy("grants", {});
     BudgetSituation situation;
--- a/tests/ledger/HoldingPolicyTest.cpp
+++ b/tests/ledger/HoldingPolicyTest.cpp
@@ -8,8 +8,8 @@
 
     constexpr std::int64_t perSecond = 10'000;
 
-    /** A router that has a third of a busy budget's requests, with the log in reach. */
-    BudgetSituation busy(std::int64_t available, std::int64_t free)
+    /** Situation of a router that gets a third of the requests of a busy budget and can reach the log. */
+    BudgetSituation busyRouter(std::int64_t available, std::int64_t free)
     {
         BudgetSituation situation;
         situation.demand = perSecond;
@@ -34,59 +34,56 @@
 
 } // namespace
 
-TEST(HoldingPolicyTest, HoldsItsWatermarksWhileABudgetLasts)
+TEST(HoldingPolicyTest, HoldsItsWatermarksWhileTheBudgetLasts)
 {
     const auto grants = policy();
-    const auto decision = grants->draw(busy(9'000'000, 50'000));
+    const auto decision = grants->draw(busyRouter(9'000'000, 50'000));
     ASSERT_TRUE(decision);
     EXPECT_EQ(decision->wanted, Tokens { 10 * perSecond - 50'000 });
-    EXPECT_FALSE(grants->draw(busy(9'000'000, 9 * perSecond)));
+    EXPECT_FALSE(grants->draw(busyRouter(9'000'000, 9 * perSecond)));
 }
 
-// Symptom: every refusal names `held` = `bought`, though a sixth of the budget was never billed.
-// Events: a budget comes to its end; each router holds ten seconds of its demand; all lose their power at once.
-// Cause: ten seconds are little of a whole budget, and all of what is left at its end.
-TEST(HoldingPolicyTest, HoldsAtMostHalfOfWhatABudgetStillLasts)
+// Failure: every refusal has `held` = `bought`, although a sixth of the budget was never billed. Each router holds ten
+// seconds of its demand, which near the end of the budget is all of what is left, and all routers lose power at once.
+TEST(HoldingPolicyTest, HoldsForAtMostHalfOfTheTimeThatABudgetLasts)
 {
     const auto grants = policy();
-    // 8 s unheld and 2 s held here: the budget lasts 10 s, of which 5 s may be held.
-    const auto decision = grants->draw(busy(8 * 3 * perSecond, 2 * perSecond));
+    // 8 s of demand are unheld and 2 s are held here: the budget lasts 10 s, of which 5 s may be held.
+    const auto decision = grants->draw(busyRouter(8 * 3 * perSecond, 2 * perSecond));
     ASSERT_TRUE(decision);
     EXPECT_EQ(decision->wanted, Tokens { 3 * perSecond });
-    EXPECT_FALSE(grants->draw(busy(5 * 3 * perSecond, 5 * perSecond)));
-    EXPECT_GT(grants->surplus(busy(1 * 3 * perSecond, 7 * perSecond)), Tokens { 2 * perSecond });
+    EXPECT_FALSE(grants->draw(busyRouter(5 * 3 * perSecond, 5 * perSecond)));
+    EXPECT_GT(grants->surplus(busyRouter(1 * 3 * perSecond, 7 * perSecond)), Tokens { 2 * perSecond });
 }
 
-// Symptom: in an outage of a large fleet 3,700 loans a second go to and fro, and requests are refused beside them.
-// Events: 80 routers hold 30,000 tokens each of an account whose callers all come to one; they have seen one large
-// request of it.
-// Cause: each lent half of that at most, and half of the rest the next time: less than most requests need.
-TEST(HoldingPolicyTest, LendsAllThatItsOwnCallersDoNotNeed)
+// Failure: in an outage of a large fleet 3,700 loans per second are lent and returned while requests are refused. 80
+// routers hold 30,000 tokens each of an account whose requests all arrive at one router, have once observed a large
+// request of the account, and lend at most half of what they hold, then half of the rest: less than most requests need.
+TEST(HoldingPolicyTest, LendsEverythingBeyondItsOwnDemand)
 {
     const auto grants = policy();
-    BudgetSituation idle = busy(0, 30'000);
-    idle.demand = 0;
-    idle.largest = Tokens { 30'000 };
-    EXPECT_EQ(grants->lendable(idle), Tokens { 30'000 });
-    idle.logReachable = false;
-    EXPECT_EQ(grants->lendable(idle), Tokens { 30'000 });
+    BudgetSituation idleRouter = busyRouter(0, 30'000);
+    idleRouter.demand = 0;
+    idleRouter.largest = Tokens { 30'000 };
+    EXPECT_EQ(grants->lendable(idleRouter), Tokens { 30'000 });
+    idleRouter.logReachable = false;
+    EXPECT_EQ(grants->lendable(idleRouter), Tokens { 30'000 });
 }
 
-// Symptom: a router that has just started holds nothing, and refuses in the next outage.
-// Events: no bill has been read yet.
-// Cause: an unknown rate was taken for a budget that is over.
-TEST(HoldingPolicyTest, AnUnknownRateShrinksNothing)
+// Failure: a router that has just started holds nothing and refuses requests in the next outage, because before the
+// first bill is read the unknown fleet rate is treated as if the budget were used up.
+TEST(HoldingPolicyTest, UnknownFleetRateLowersNoWatermark)
 {
     const auto grants = policy();
-    BudgetSituation situation = busy(100'000, 0);
+    BudgetSituation situation = busyRouter(100'000, 0);
     situation.fleetRate = 0;
     const auto decision = grants->draw(situation);
     ASSERT_TRUE(decision);
-    EXPECT_EQ(decision->wanted, Tokens { 50'000 }) << "half of what is left, as ever";
+    EXPECT_EQ(decision->wanted, Tokens { 50'000 }) << "half of what is left";
 }
 
-// Callers of a living failure domain refused for a minute: the first router that was asked drew a fifth of the budget
-// for minutes of its demand, and that was lost with its domain seconds later.
+// Failure: a live failure domain refuses requests for a minute, because the first router with requests drew a fifth of
+// the budget for minutes of its demand, which was lost when the router's failure domain failed seconds later.
 TEST(HoldingPolicyTest, FirstRequestsLeaveAFifthOfTheirShareOfABudget)
 {
     PolicySettings settings;
@@ -109,10 +106,10 @@
     EXPECT_EQ(busyDecision->wanted, Tokens { 36'000 / 6 * 4 / 5 + 100 });
 }
 
-TEST(HoldingPolicyTest, WhatWaitsIsDrawnWhateverIsLeft)
+TEST(HoldingPolicyTest, WaitingRequestsAreDrawnForBeyondTheShare)
 {
     const auto grants = policy();
-    BudgetSituation situation = busy(30'000, 0);
+    BudgetSituation situation = busyRouter(30'000, 0);
     situation.need = Tokens { 5'000 };
     situation.smallestNeed = Tokens { 5'000 };
     situation.waiting = Tokens { 25'000 };
