--- a/src/ledger/HolderBudgetState.cpp
+++ b/src/ledger/HolderBudgetState.cpp
@@ -9,20 +9,20 @@
     using namespace std::chrono_literals;
 
     /** How long after its last draw another holder counts as sharing the budget. */
-    constexpr Duration sharerMemory = 300s;
+    constexpr Duration sharerActivityWindow = 300s;
 
 } // namespace
 
 void HolderBudgetState::recordSharer(Incarnation holder, Instant now)
 {
     sharers[holder] = now;
-    std::erase_if(sharers, [&](const auto& sharer) { return now - sharer.second >= sharerMemory; });
+    std::erase_if(sharers, [&](const auto& sharer) { return now - sharer.second >= sharerActivityWindow; });
 }
 
 std::uint32_t HolderBudgetState::sharerCount(Instant now) const
 {
-    const auto active
-        = std::ranges::count_if(sharers, [&](const auto& sharer) { return now - sharer.second < sharerMemory; });
+    const auto active = std::ranges::count_if(
+        sharers, [&](const auto& sharer) { return now - sharer.second < sharerActivityWindow; });
     return static_cast<std::uint32_t>(active) + 1;
 }
 
