--- a/src/ledger/HolderBook.cpp
+++ b/src/ledger/HolderImpl.cpp
@@ -1,4 +1,4 @@
-#include "ledger/HolderBook.h"
+#include "ledger/HolderImpl.h"
 
 #include <algorithm>
 #include <sstream>
@@ -8,33 +8,34 @@
 
 namespace {
 
-    /** A lender that left so many LoanDone unanswered is gone; what it counts as lent is lost only to itself. */
-    constexpr std::uint32_t attemptsBeforeLeaving = 6;
+    /** Attempts to send LoanDone after which the lender counts as gone. Only the lender's own grant stays charged then.
+     */
+    constexpr std::uint32_t maxLoanDoneAttempts = 6;
 
 } // namespace
 
-HolderBook::HolderBook(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold)
+HolderImpl::HolderImpl(Incarnation self, std::shared_ptr<const HoldingPolicy> policy, const Fold& fold)
     : self_(self)
     , policy_(std::move(policy))
     , fold_(&fold)
 {
 }
 
-HolderBook::HolderBook(const HolderBook& other, const Fold& fold)
-    : HolderBook(other)
+HolderImpl::HolderImpl(const HolderImpl& other, const Fold& fold)
+    : HolderImpl(other)
 {
     fold_ = &fold;
 }
 
-bool HolderBook::drained() const
+bool HolderImpl::drained() const
 {
-    const auto over = [](const auto& loan) {
-        return loan.second.state() == LoanState::Ending && loan.second.attempts() >= attemptsBeforeLeaving;
+    const auto isAbandoned = [](const auto& loan) {
+        return loan.second.state() == LoanState::Ending && loan.second.attempts() >= maxLoanDoneAttempts;
     };
-    return grants_.empty() && std::ranges::all_of(loans_, over);
+    return grants_.empty() && std::ranges::all_of(loans_, isAbandoned);
 }
 
-std::vector<HoldingView> HolderBook::holdings() const
+std::vector<HoldingView> HolderImpl::holdings() const
 {
     std::vector<HoldingView> views;
     for (const auto& [number, grant] : grants_) {
@@ -48,14 +49,14 @@
     return views;
 }
 
-std::string HolderBook::stateText() const
+std::string HolderImpl::stateText() const
 {
     std::ostringstream out;
     out << "holder " << self_ << " at " << now_.time_since_epoch().count() << " retired " << retired_ << " reading "
         << author_ << " last " << lastGrant_ << ' ' << lastLoan_ << " log " << environment_.logReachable
         << environment_.stopping << " witness " << environment_.witness.value_or(Incarnation {}) << " since "
         << witnessSince_.time_since_epoch().count() << " silent " << silentWitness_ << " until "
-        << silentUntil_.time_since_epoch().count() << " draws take " << drawTook_.count() << " caught up "
+        << silentUntil_.time_since_epoch().count() << " draws take " << drawLatency_.count() << " caught up "
         << environment_.caughtUp;
     for (const Incarnation lender : environment_.lenders)
         out << " lender " << lender;
@@ -64,9 +65,9 @@
         grant.print(out);
     for (const auto& [number, loan] : loans_)
         loan.print(out);
-    lending_.print(out);
-    for (const auto& [budget, desk] : desks_)
-        desk.print(out);
+    loanAnswers_.print(out);
+    for (const auto& [budget, budgetState] : budgetStates_)
+        budgetState.print(out);
     return out.str();
 }
 
