--- a/include/swiftlift/node/Action.h
+++ b/include/swiftlift/node/Action.h
@@ -20,7 +20,7 @@
 
 enum class BackendKind : std::uint8_t { Model, Plain };
 
-/** Have the request of `call` run by `backend`; pass its answer on to the caller as it comes. */
+/** Send the request of `call` to `backend` and forward its answer to the caller as it is received. */
 struct Dispatch {
     CallId call;
     AttemptId attempt;
@@ -29,16 +29,16 @@
     RequestKey key;
     Priority priority = Priority::Normal;
     std::string body;
-    /** Tokens the caller already has, to be skipped when a stream is resumed or run again. */
+    /** Tokens that the caller already has; skipped when a stream is resumed or run again. */
     Tokens resumeFrom;
-    /** How long the backend server may take to answer at all, and between two tokens. */
+    /** Maximum time until the backend server's first token, and between two tokens. */
     Duration silenceLimit {};
 };
-/** Give the attempt up: close its connection; it reports nothing any more. */
+/** Abandon the attempt: close its connection and emit no further events of it. */
 struct CancelAttempt {
     AttemptId attempt;
 };
-/** The final word to a caller. For Answered: the attempt's whole answer with the bill. */
+/** End the call with this result. With Answered: the attempt's whole answer and the billed tokens. */
 struct Reply {
     CallId call;
     Outcome outcome = Outcome::Unknown;
@@ -48,85 +48,93 @@
     std::optional<Duration> retryAfter;
     Tokens billed;
 };
-/** Append one record. At most one append per stream is under way; the core repeats it when it has to. */
+/** Append one record. At most one append per stream is in flight; the core repeats it if necessary. */
 struct Append {
     StreamName stream;
     std::string record;
-    /** Of a stream with keys: the record's key. Without a record, the key is dropped. */
+    /** Only for keyed streams: the record's key. An empty record deletes the key. */
     std::string key {};
 };
-/** What a stream's records are. */
+/** Whether a stream's records have keys, and how they are read. */
 enum class StreamKind : std::uint8_t {
-    /** Told as LogRecords, from an offset on. */
+    /** Without keys: delivered as LogRecords from an offset on. */
     Plain,
-    /** Told as KeyedRecords: first all keys, then what changes. */
+    /** Delivered as KeyedRecords: first all keys, then each change. */
     Keyed,
-    /** As Keyed, but all keys once, and no more. */
+    /** Delivered as KeyedRecords: all keys once, without later changes. */
     KeyedOnce,
 };
-/** Read from here on, by long poll, until told otherwise: from then on the transport follows the stream itself. */
+/**
+ * Read the stream by long poll from this offset on, until another Follow of the same stream replaces this one. The
+ * transport advances the offset itself.
+ */
 struct Follow {
     StreamName stream;
     Offset from;
     StreamKind kind = StreamKind::Plain;
-    /** Between the end of a read and the next one; a busy stream answers each read at once. */
+    /** Pause between two reads; keeps a busy stream, which answers each read at once, from being read continuously. */
     Duration pause {};
 };
-/** The next read of a followed stream waits no longer: something that it brings is waited for here. */
+/** Start the next read of a followed stream without the remaining pause, because the core waits for its records. */
 struct ExpediteRead {
     StreamName stream;
 };
+/** Send a message to a peer router. */
 struct SendPeer {
     PeerAddress to;
-    /** 0: whoever listens there. */
+    /** Incarnation that the message is meant for; 0: any incarnation at the address. */
     Incarnation receiver;
     PeerMessage message;
-    /** Of messages on grants and loans: the shard of the ledger that numbers them. */
+    /** Only for messages about grants and loans: ledger shard in which their ids are valid. */
     std::uint32_t shard = 0;
 };
-/** Poll these backend servers' load and cache events from now on; replaces the former set. */
+/** Poll the load and cache events of these backend servers from now on; replaces the previous set. */
 struct WatchBackends {
     std::vector<BackendId> models;
     std::vector<BackendId> plain;
 };
+/** Send an order to a backend server. */
 struct SendOrder {
     BackendId backend;
     std::uint64_t fencing = 0;
     /** JSON body, see docs/PROTOCOLS.md section 2. */
     std::string body;
-    /** From then on it may not be sent any more: another router may have the order lease. */
+    /** The order must not be sent from this moment on, because another router may hold the order lease. */
     std::optional<Instant> notAfter;
 };
-/** One JSON line in the log: `kind`, then the fields as text or numbers. */
+/** One field of a log line. */
 struct LogField {
     std::string name;
     std::variant<std::string, std::int64_t, double, bool> value;
 };
+/** One JSON line in the log: `kind`, then the fields. */
 struct LogLine {
-    /** For example `route`, `refuse`, `grant`, `seal`, `membership`, `config`. */
+    /** Name of the log event, for example `route`, `refuse`, `grant`, `seal`, `membership`, `config`. */
     std::string kind;
     std::vector<LogField> fields;
 };
-/** A metric's new value or increment; the transport maps names to Prometheus families. */
+/** Increment of a counter; the transport maps its name to a Prometheus family. */
 struct CountMetric {
     std::string name;
     std::vector<std::pair<std::string, std::string>> labels;
     double add = 1;
 };
+/** New value of a gauge; the transport maps its name to a Prometheus family. */
 struct GaugeMetric {
     std::string name;
     std::vector<std::pair<std::string, std::string>> labels;
     double value = 0;
 };
+/** Answer to the operator's query with this number. */
 struct OperatorReply {
     std::uint64_t question = 0;
     std::string json;
 };
-/** Everything in progress has ended: the process may exit. */
+/** Nothing is in progress any more: the process may exit. */
 struct StopReady { };
 
 /**
- * This incarnation is over (the ledger has retired it) and nothing is in progress: go on with a new Core under a new
+ * The ledger has retired this incarnation and nothing is in progress any more: continue with a new Core under a new
  * incarnation.
  */
 struct Restart {
--- a/include/swiftlift/node/Core.h
+++ b/include/swiftlift/node/Core.h
@@ -19,65 +19,66 @@
 
 namespace swiftlift::node {
 
-/** Where the ledger's checkpoints are kept. */
+/** Where the ledger's checkpoints are stored. */
 enum class CheckpointPlace : std::uint8_t {
     /** Among the records of the ledger's own stream. */
     InStream,
-    /** In a keyed stream of their own, which outlasts the ledger's oldest records. */
+    /** In a separate keyed stream, whose records outlive the oldest records of the ledger's stream. */
     SeparateStream,
 };
 
 /** How the ledger's stream is written and read. */
 struct LedgerPace {
     CheckpointPlace checkpoints = CheckpointPlace::InStream;
-    /** Between two checkpoints of the fleet. */
+    /** Time between two checkpoints, whichever routers of the fleet write them. */
     Duration checkpointInterval = std::chrono::seconds(30);
-    /** How long bills wait for company; nothing: the longer, the more routers there are. */
+    /** How long bills are collected into one record; nullopt: grows with the number of routers. */
     std::optional<Duration> batchPeriod;
-    /** How long items wait for company before they are copied to the witness. */
+    /** How long ledger items are collected into one message before they are copied to the witness. */
     Duration copyPeriod {};
-    /** Between the end of a read and the next one. */
+    /** Time between the end of a read of the stream and the next read. */
     Duration readPause {};
-    /** Keys of bills and claims that the fold remembers. All routers of a fleet need the same. */
+    /** Number of bill and claim keys that the fold retains; must be equal at all routers of a fleet. */
     std::size_t keysRemembered = ledger::FoldLimits::defaultKeys;
 };
 
-/** What a router is told at its start, and never changes. */
+/** A router's settings, fixed from its start on. */
 struct CoreSettings {
     Incarnation incarnation;
     PeerAddress peerAddress;
     FailureDomain domain;
     Region region;
-    /** Routers to speak to before the VM list has been read. */
+    /** Addresses of routers to contact before the VM list has been read. */
     std::vector<PeerAddress> seeds;
     std::uint32_t ledgerShards = 1;
+    /** Seed of the router's random choices. */
     std::uint64_t seed = 1;
     /** `grants` (default), `static_split` or `append_per_request`: how budgets are held. */
     std::string holdingPolicy = "grants";
-    /** Of `static_split`: into how many equal parts a budget is split. */
+    /** Only for `static_split`: number of equal parts that each budget is split into. */
     std::uint32_t splitWays = 8;
-    /** Of `grants`: in place of the figures that the services' weightings name. */
+    /** Only for `grants`: replaces the watermarks that the services' weightings define. */
     std::optional<ledger::Watermarks> watermarks;
-    /** Of `grants`: part of each budget, in percent, that the routers together hold before there is demand. */
+    /** Only for `grants`: percentage of each budget that the routers together hold before there is demand. */
     std::uint32_t preallocationPercent = 0;
     LedgerPace ledger;
     /** `affinity` (default), `rendezvous`, `random`, `round_robin` or `least_load`. */
     std::string routingPolicy = "affinity";
-    /** Set: requests are passed on as they came, by the fleet's configuration. Unset: by services' documents. */
+    /** Set: requests are proxied unchanged, by the fleet's configuration. Unset: services' documents apply. */
     std::shared_ptr<const fleet::FleetCodec> fleetCodec;
-    /** Of requests that are passed on: what may be sent beyond each one's first time. */
+    /** Limit on the retries of proxied requests. */
     routing::RetryBound retries;
-    /** Of a planned stop: how long new requests are still taken, until the platform's entry has noticed. */
+    /** How long new requests are still accepted after a stop was requested, until the platform's entry has noticed. */
     Duration stopAcceptance {};
 
-    /** @return Whether a caller is given the end of an answer only once its bill is safe (LEDGER.md, S15). */
+    /** @return Whether the end of an answer is sent to the caller only once its bill is durable (LEDGER.md, S15). */
     [[nodiscard]] bool answersWaitForBills() const noexcept { return fleetCodec == nullptr; }
 };
 
 /**
  * @brief All decisions of one router: events in, actions out. No I/O, no threads, no clock.
  *
- * The same class runs in `swiftlift-router`, in tests and under any bench. Equal settings and equal events give equal
+ * `swiftlift-router`, the tests and the benchmarks all run this class. Equal settings and equal events give equal
  * actions.
  */
 class Core {
@@ -87,13 +88,18 @@
     Core(Core&&) noexcept;
     Core& operator=(Core&&) noexcept;
 
-    /** @param actions Takes what has to be done before anything else happens, in order. */
+    /**
+     * @brief To be called once, before the first event.
+     * @param now Time of the start.
+     * @param actions Receives the actions to be executed before the first event, in order.
+     */
     void start(Instant now, Actions& actions);
 
     /**
-     * @param event What happened.
-     * @param now When; never before the moment of an earlier call.
-     * @param actions Takes what has to be done, in order.
+     * @brief Handles one event.
+     * @param event The event.
+     * @param now Time of the event; must not be before that of an earlier call.
+     * @param actions Receives the actions to be executed, in order.
      */
     void handle(const Event& event, Instant now, Actions& actions);
 
--- a/include/swiftlift/node/Event.h
+++ b/include/swiftlift/node/Event.h
@@ -18,96 +18,101 @@
 
 using swiftlift::Priority;
 
-/** A caller's request, parsed and within the transport's own bounds; nothing in it has been checked against the ledger.
- */
+/** A caller's request, parsed and within the transport's limits. Nothing in it has been checked against the ledger. */
 struct CallerRequest {
     AccountId account;
-    /** SHA-256 of the key the caller showed, in hex. */
+    /** SHA-256 of the key that the caller presented, in hex. */
     std::string keyHash;
     ServiceName service;
     CallerRequestId id;
     /** Hash of account and id. */
     RequestKey key;
-    /** From 1; 2 and up when the caller asks again. */
+    /** Number of the caller's attempt: 1 for the first, 2 and up for repetitions. */
     std::uint32_t attempt = 1;
-    /** From arrival; nothing: the service's default. */
+    /** Time allowed from arrival; nullopt: the service's default. */
     std::optional<Duration> deadline;
     bool idempotent = true;
     Priority priority = Priority::Normal;
     bool stream = false;
-    /** Raw body. */
+    /** Body as received. */
     std::string body;
-    /** Of a model service: tokens of the prompt, most tokens of the answer, hash of the prompt's prefix. */
+    /** Only for model services: tokens of the prompt, maximum tokens of the answer, hash of the prompt's prefix. */
     Tokens promptTokens;
     Tokens maxAnswerTokens;
     std::uint64_t prefixHash = 0;
 };
 
+/** A caller's request has been received completely. */
 struct RequestArrived {
     CallId call;
     CallerRequest request;
 };
-/** The caller's connection is gone; nothing more can be told it. */
+/** The caller's connection has closed; no answer can be sent on it any more. */
 struct CallerDisconnected {
     CallId call;
 };
 using request::AttemptEnd;
+/** Tokens of the answer have been forwarded to the caller. */
 struct AttemptProgress {
     AttemptId attempt;
-    /** Tokens passed on to the caller so far, resumed ones included. */
+    /** Tokens forwarded to the caller so far, those of earlier attempts that were resumed included. */
     Tokens answerTokens;
 };
+/** An attempt to run a request at a backend server has ended. */
 struct AttemptEnded {
     AttemptId attempt;
     AttemptEnd end = AttemptEnd::Broken;
     Tokens promptTokens;
     Tokens answerTokens;
     Tokens cachedPromptTokens;
-    /** For logs. */
+    /** Explanation for logs. */
     std::string detail;
 };
-/** Records of a stream, in order from `first`. */
+/** Records read from a stream, in order; `first` is the offset of the first record. */
 struct LogRecords {
     StreamName stream;
     Offset first;
     std::vector<std::string> records;
-    /** The stream's end as the log told it; nothing when the records came from a peer. */
+    /** End of the stream as the log reported it; nullopt: a peer sent the records. */
     std::optional<Offset> end;
 };
-/** The offset asked for has expired; the oldest one kept is told. */
+/** The offset to read from has expired; `oldest` is the oldest offset that the log still has. */
 struct LogExpired {
     StreamName stream;
     Offset oldest;
 };
-/** A read or append failed or timed out; an append may still land at any later time. */
+/** A read or append failed or timed out. The log may still store the appended record at any later time. */
 struct LogUnreachable {
     StreamName stream;
     std::string detail;
 };
-/** The append got its answer. Whether it counts is known only once it is read back. */
+/** The log answered an append. The record counts only once it has been read back from the stream. */
 struct AppendAnswered {
     StreamName stream;
 };
+/** A message from a peer router has been received. */
 struct PeerReceived {
     Incarnation sender;
     PeerAddress address;
     PeerMessage message;
-    /** Of messages on grants and loans: the shard of the ledger that numbers them. */
+    /** Only for messages about grants and loans: ledger shard in which their ids are valid. */
     std::uint32_t shard = 0;
 };
+/** One VM of the platform's list. */
 struct ListedVm {
     PeerAddress address;
     FailureDomain domain;
     Region region;
     bool leaving = false;
 };
-/** The platform's list: lagging, advice only. */
+/** The platform's list of VMs has been read. It lags behind the fleet, so it is only a hint. */
 struct VmListRead {
     std::vector<ListedVm> vms;
 };
+/** A backend server's load report, or the failure to get one. */
 struct BackendLoad {
     BackendId backend;
-    /** Nothing: the report could not be had. */
+    /** False: no report could be read, and the other fields have no meaning. */
     bool reachable = false;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -117,25 +122,28 @@
     std::uint64_t generation = 0;
 };
 enum class CacheEventKind : std::uint8_t { Stored, Evicted };
+/** A change of the prefix cache of a backend server. */
 struct CacheEvent {
     std::uint64_t sequence = 0;
     CacheEventKind kind = CacheEventKind::Stored;
     std::uint64_t prefixHash = 0;
 };
+/** New cache events of a backend server have been read. */
 struct CacheEventsRead {
     BackendId backend;
     std::vector<CacheEvent> events;
 };
+/** A backend server answered an order. */
 struct OrderAnswered {
     BackendId backend;
     bool accepted = false;
     std::uint64_t fencing = 0;
 };
-/** Comes at least every 50 ms. */
+/** Timer event; occurs at least every 50 ms. */
 struct Tick { };
-/** The operator or the platform wants this process to end; nothing in progress may be cut off. */
+/** The operator or the platform requests a stop of this process. Requests in progress must still be completed. */
 struct StopRequested { };
-/** An operator's question; answered by an OperatorReply with JSON. */
+/** A query by an operator; answered by an OperatorReply with JSON. */
 struct OperatorAsked {
     std::uint64_t question = 0;
     /** `status`, `budgets`, `vms`, `backends`, `services` or `explain`. */
--- a/include/swiftlift/node/ProxyRequest.h
+++ b/include/swiftlift/node/ProxyRequest.h
@@ -11,116 +11,119 @@
 
 namespace swiftlift::node {
 
-// Requests that are passed on as they came. The transport keeps their bytes; the core decides on these facts.
+// Requests that the fleet's configuration proxies unchanged. The transport keeps their bytes; the core decides by the
+// fields below.
 
-/** A part of a prompt that other prompts may begin with as well, if all parts before it are the same too. */
+/** One part of a prompt's prefix. Two prompts share a part if it and all parts before it are equal in both. */
 struct PrefixPart {
     std::uint64_t hash = 0;
     Tokens tokens;
 };
 
-/** What routing and money have to know of a request. */
+/** The fields of a request that routing and the token ledger use. */
 struct ProxyRequestInfo {
-    /** The caller's id of this one attempt; another attempt has another id. */
+    /** The caller's id of this attempt; the caller uses a new id for each attempt. */
     std::string id;
     std::string host;
-    /** Without its query. */
+    /** Path of the request target, without the query. */
     std::string path;
-    /** The key the caller showed; empty: none. */
+    /** Key that the caller presented; empty: none. */
     std::string key;
-    /** From arrival; nothing: the route's time limit alone. */
+    /** Time allowed from arrival; nullopt: only the route's time limit applies. */
     std::optional<Duration> deadline;
     Tokens promptTokens;
     Tokens maxAnswerTokens;
-    /** Of the prompt, in order; the last part is the request's own. */
+    /** Parts of the prompt, in order; the last part belongs to this request only. */
     std::vector<PrefixPart> prefix;
-    /** What it asks for: the same when a caller asks again. Nothing: not known. */
+    /** Digest of the request's content, equal for each repetition of the request; nullopt: not known. */
     std::optional<ContentDigest> content;
 };
 
-/** A caller's request has come whole. */
+/** A caller's request has been received completely. */
 struct ProxyRequestArrived {
     CallId call;
     ProxyRequestInfo facts;
-    /** When it had come: its caller's time runs from then on, also while it waits to be looked at. */
+    /** When the request was complete. Its deadline counts from here, including the time until the core handles it. */
     Instant at {};
 };
 
-/** Events of the answer have been passed on to the caller. */
+/** Events of the answer have been forwarded to the caller. */
 struct ProxyAttemptProgress {
     AttemptId attempt;
+    /** Events forwarded to the caller so far, those of earlier attempts included. */
     std::uint64_t events = 0;
 };
 
-/** How an attempt to have a request run by a backend server ended. */
+/** How an attempt to run a request at a backend server ended. */
 enum class ProxyAttemptEnd : std::uint8_t {
     /** The whole answer has been written to the caller. */
     Completed,
-    /** The backend server could not be reached: nothing was sent. */
+    /** The backend server could not be reached; nothing was sent. */
     Unreachable,
-    /** The backend server says that it did not start it. */
+    /** The backend server reported that it did not start the request. */
     Refused,
-    /** Another backend server has the address now; it did not start it. */
+    /** Another backend server now has this address; it did not start the request. */
     Misdirected,
-    /** The backend server answered with a failure, which is kept. */
+    /** The backend server answered with a failure, which the transport keeps. */
     Failed,
-    /** It may have run: the connection broke, the answer was no answer, or it fell silent. */
+    /** The request may have run: the connection broke, the answer was malformed, or the backend server fell silent. */
     Broken,
 };
 
+/** An attempt to run a request at a backend server has ended. */
 struct ProxyAttemptEnded {
     AttemptId attempt;
     ProxyAttemptEnd end = ProxyAttemptEnd::Broken;
-    /** Of the answer; 0 when there was none. */
+    /** Status of the answer; 0: there was no answer. */
     int status = 0;
-    /** Events of the answer that the caller has been given, those of earlier attempts included. */
+    /** Events of the answer forwarded to the caller, those of earlier attempts included. */
     std::uint64_t events = 0;
-    /** For logs. */
+    /** Explanation for logs. */
     std::string detail;
-    /** Of Broken: the connection ended as it does when its backend server ends. */
+    /** Only with Broken: the connection ended in the way it does when the backend server's process ends. */
     bool connectionLost = false;
 };
 
-/** The caller's connection is gone: it has left, or its stream was cut. Nothing is passed on to it any more. */
+/** The caller disconnected, or the stream to it was cut. Nothing more is forwarded to the caller. */
 struct ProxyRequestAbandoned {
     CallId call;
-    /** Events that it has been given. */
+    /** Events forwarded to the caller in total. */
     std::uint64_t events = 0;
 };
 
-/** Have the request run by a backend server, and pass its answer on. */
+/** Action: send the request to a backend server and forward its answer to the caller. */
 struct ProxyDispatch {
     CallId call;
     AttemptId attempt;
-    /** The life of the server that is meant. */
+    /** The backend server to send to; if another server has its address now, the attempt ends as Misdirected. */
     BackendId backend;
     BackendAddress address;
-    /** Whom it is run for; empty: for nobody in particular. */
+    /** Client account that the request is run for; empty: none. */
     AccountId account;
     /** 0 is the most urgent. */
     std::uint32_t urgency = 0;
-    /** How long the backend server may work on it. */
+    /** Time until the request's deadline. */
     Duration timeLeft {};
     fleet::AnswerKind answer = fleet::AnswerKind::Whole;
-    /** The caller has events of it already: go on after the last one. */
+    /** The caller already has events of this answer: continue after the last of them. */
     bool resume = false;
-    /** A backend server that is silent for this long counts as lost; nothing: only the time left counts. */
+    /** A backend server that sends nothing for this long counts as lost; nullopt: only `timeLeft` applies. */
     std::optional<Duration> silenceLimit;
 };
 
-/** The final word to a caller is the failure that its backend server answered with. */
+/** Action: end the call with the failure that a backend server answered with, which the transport kept. */
 struct ProxyFailureReply {
     CallId call;
 };
 
-/** Whether the platform's entry may send this VM callers. */
+/** Action: report whether the platform's entry may send callers to this VM. */
 struct AnnounceReadiness {
     bool ready = false;
-    /** The process is about to end: callers' connections close after their present answers. */
+    /** The process is about to end: each caller's connection closes after its current answer. */
     bool closing = false;
 };
 
-/** Bounds of callers' connections, from now on. */
+/** Action: apply these limits to callers' connections from now on. */
 struct SetCallerLimits {
     fleet::CallerLimits limits;
 };
