--- a/include/swiftlift/node/Action.h
+++ b/include/swiftlift/node/Action.h
@@ -72,7 +72,7 @@
     StreamName stream;
     Offset from;
     StreamKind kind = StreamKind::Plain;
-    /** Pause between two reads; keeps a busy stream, which answers each read at once, from being read continuously. */
+    /** Time between the end of a read and the next read. Without it, a busy stream would be read continuously. */
     Duration pause {};
 };
 /** Start the next read of a followed stream without the remaining pause, because the core waits for its records. */
