--- a/src/node/Gateway.cpp
+++ b/src/node/Gateway.cpp
@@ -27,7 +27,7 @@
     , fleet_(context_, peers_, health_, backends_, *this)
     , ledgers_(context_, peers_, health_, *this)
     , quarantine_(context_, peers_)
-    , proxyRequests_(context_, fleet_, backends_, ledgers_, quarantine_, [this] { return routers(); })
+    , proxyRequests_(context_, fleet_, backends_, ledgers_, quarantine_, [this] { return routerCount(); })
     , ending_(context_)
 {
 }
@@ -42,7 +42,7 @@
     fleet_.start();
     quarantine_.start();
     ledgers_.start();
-    announce();
+    announceReadiness();
 }
 
 void Gateway::finishEvent() { proxyRequests_.finishEvent(); }
@@ -67,25 +67,25 @@
     quarantine_.onServerSeen({ server.id, server.startedAt }, at);
 }
 
-std::string Gateway::unready() const
+std::string Gateway::reasonNotReady() const
 {
     if (!retiredReason_.empty()) {
-        return "incarnation ends: " + retiredReason_;
+        return "the incarnation ends: " + retiredReason_;
     }
     if (!fleet_.routes()) {
-        return "no configuration read yet";
+        return "the configuration has not been read yet";
     }
     if (!fleet_.serversKnown()) {
-        return "backend servers not read yet";
+        return "the list of backend servers has not been read yet";
     }
-    // A fleet that starts anew would give a request that crashes backend servers to three more of them.
+    // Without the reports, a restarted fleet would send a request that crashes backend servers to three more of them.
     if (!quarantine_.known()) {
-        return "crash reports not read yet";
+        return "the crash reports have not been read yet";
     }
     if (!ledgers_.caughtUp()) {
-        return "still reading the ledger";
+        return "still reading the ledger to its end";
     }
-    return peers_.membership().settled() ? "" : "still listening for the other routers";
+    return peers_.membership().settled() ? "" : "still waiting for heartbeats of the other routers";
 }
 
 bool Gateway::closing() const
@@ -93,28 +93,31 @@
     return stopRequested_ && context_.now() - *stopRequested_ >= context_.settings().stopAcceptance;
 }
 
-std::uint32_t Gateway::routers() const { return std::max({ mostRouters_, static_cast<std::uint32_t>(fleet_.vms()) }); }
+std::uint32_t Gateway::routerCount() const
+{
+    return std::max({ maxRoutersSeen_, static_cast<std::uint32_t>(fleet_.vms()) });
+}
 
 void Gateway::on(const ProxyRequestArrived& event)
 {
-    // What goes wrong otherwise: the platform's entry goes on sending callers for the second or two that it takes to
-    // notice a planned stop, and each of them would be refused for nothing.
+    // Requests are accepted for a while after a stop was requested: the platform's entry takes 1 to 2 s to notice the
+    // stop, and the callers it sends until then would be refused without need.
     if (closing()) {
         proxyRequests_.refuseImmediately(event.call, event.facts, "stopping", "this VM is leaving");
         return;
     }
-    if (std::string reason = unready(); !reason.empty()) {
+    if (std::string reason = reasonNotReady(); !reason.empty()) {
         proxyRequests_.refuseImmediately(event.call, event.facts, "not_ready", std::move(reason));
         return;
     }
-    proxyRequests_.arrive(event.call, event.facts, event.at);
+    proxyRequests_.onArrived(event.call, event.facts, event.at);
 }
 
 void Gateway::on(const ProxyAttemptProgress& event) { proxyRequests_.onProgress(event); }
 void Gateway::on(const ProxyAttemptEnded& event)
 {
-    proxyRequests_.onEnded(event);
-    changes_.noteBackend(proxyRequests_.lastBackend(), backends_);
+    proxyRequests_.onAttemptEnded(event);
+    changes_.noteBackend(proxyRequests_.lastEndedBackend(), backends_);
 }
 void Gateway::on(const ProxyRequestAbandoned& event) { proxyRequests_.onAbandoned(event); }
 
@@ -146,11 +149,11 @@
 {
     health_.onFailure();
     changes_.noteLog(false, event.stream.value() + ": " + event.detail);
-    noteReportAnswer(event.stream);
+    notifyQuarantineOfLogAnswer(event.stream);
     ledgers_.on(event);
 }
 
-void Gateway::noteReportAnswer(const StreamName& stream)
+void Gateway::notifyQuarantineOfLogAnswer(const StreamName& stream)
 {
     if (stream == QuarantineCoordinator::stream()) {
         quarantine_.onLogAnswer();
@@ -160,7 +163,7 @@
 void Gateway::on(const AppendAnswered& event)
 {
     health_.onAnswer(context_.now());
-    noteReportAnswer(event.stream);
+    notifyQuarantineOfLogAnswer(event.stream);
     ledgers_.on(event);
 }
 
@@ -169,8 +172,8 @@
     if (event.sender == context_.self()) {
         return;
     }
-    if (const auto* heard = std::get_if<Heartbeat>(&event.message)) {
-        peers_.onHeartbeat(event.sender, event.address, *heard);
+    if (const auto* received = std::get_if<Heartbeat>(&event.message)) {
+        peers_.onHeartbeat(event.sender, event.address, *received);
         return;
     }
     routePeerMessage(event);
@@ -178,10 +181,10 @@
 
 void Gateway::routePeerMessage(const PeerReceived& event)
 {
-    const auto* ask = std::get_if<ReadAsk>(&event.message);
+    const auto* readAsk = std::get_if<ReadAsk>(&event.message);
     const auto* records = std::get_if<Records>(&event.message);
-    if (ask != nullptr && ask->stream == FleetDirectory::configStream()) {
-        fleet_.onReadAsk(event.sender, ask->from);
+    if (readAsk != nullptr && readAsk->stream == FleetDirectory::configStream()) {
+        fleet_.onReadAsk(event.sender, readAsk->from);
     } else if (records != nullptr && records->stream == FleetDirectory::configStream()) {
         fleet_.onPeerRecords(*records);
     } else if (records != nullptr && records->stream == QuarantineCoordinator::stream()) {
@@ -200,22 +203,22 @@
     for (const Incarnation suspected : peers_.tick(heartbeat())) {
         ledgers_.onSuspected(suspected);
     }
-    mostRouters_ = std::max(mostRouters_, static_cast<std::uint32_t>(peers_.membership().counts().alive) + 1);
+    maxRoutersSeen_ = std::max(maxRoutersSeen_, static_cast<std::uint32_t>(peers_.membership().counts().alive) + 1);
     fleet_.tick(stopRequested_.has_value());
     quarantine_.tick();
     proxyRequests_.tick();
     ledgers_.tick(closing());
     backends_.tick(context_.now());
-    announce();
+    announceReadiness();
     const bool ending = closing() || !retiredReason_.empty();
     if (ending) {
         ending_.tick(closing(), retiredReason_, { proxyRequests_.inProgress(), ledgers_.drained(), ledgers_.unread() });
     }
 }
 
-void Gateway::announce()
+void Gateway::announceReadiness()
 {
-    const std::string reason = unready();
+    const std::string reason = reasonNotReady();
     const bool ready = reason.empty() && !stopRequested_;
     const bool close = stopRequested_.has_value();
     if (announced_ && announced_->ready == ready && announced_->closing == close) {
@@ -247,7 +250,7 @@
     context_.log(LogLineBuilder("stop")
                      .with("in_progress", static_cast<std::int64_t>(proxyRequests_.inProgress()))
                      .with("reason", "asked"));
-    announce();
+    announceReadiness();
 }
 
 void Gateway::on(const OperatorAsked& event) { context_.emit(OperatorReply { event.question, statusText() }); }
@@ -255,7 +258,7 @@
 std::string Gateway::statusText() const
 {
     const auto counts = peers_.membership().counts();
-    const std::string reason = unready();
+    const std::string reason = reasonNotReady();
     return nlohmann::json {
         { "incarnation", toHex(context_.self().value()) }, { "peer", context_.settings().peerAddress.value() },
         { "domain", context_.settings().domain.value() }, { "ready", reason.empty() }, { "reason", reason },
--- a/src/node/Gateway.h
+++ b/src/node/Gateway.h
@@ -17,7 +17,7 @@
 
 namespace swiftlift::node {
 
-/** The parts of a core that passes requests on as they came, by the fleet's configuration. */
+/** Components of a core that proxies requests unchanged, by the fleet's configuration, and the events between them. */
 class Gateway final : public LedgerListener, public FleetListener {
 public:
     explicit Gateway(CoreSettings settings);
@@ -39,7 +39,7 @@
     void on(const Tick& event);
     void on(const StopRequested& event);
     void on(const OperatorAsked& event);
-    /** What concerns the services' documents is not this composition's. */
+    /** Ignores events that occur only in a core that serves services' documents. */
     template <typename Other> void on(const Other&) { }
 
     void onClaimDecided(const RequestKey&, Incarnation) override { }
@@ -52,16 +52,21 @@
     [[nodiscard]] Context& context() noexcept { return context_; }
 
 private:
+    /** Time between two updates of the list of watched peers. */
     static constexpr Duration watchedPeriod = std::chrono::seconds(1);
 
     void routePeerMessage(const PeerReceived& event);
-    void noteReportAnswer(const StreamName& stream);
-    void announce();
+    /** Informs the quarantine if the log's answer or failure concerns the stream of crash reports. */
+    void notifyQuarantineOfLogAnswer(const StreamName& stream);
+    /** Emits AnnounceReadiness if it has changed. */
+    void announceReadiness();
     void refreshWatched();
-    /** @return Why new requests can't be taken; empty: they can. */
-    [[nodiscard]] std::string unready() const;
+    /** @return Why new requests can't be accepted; empty: they can. */
+    [[nodiscard]] std::string reasonNotReady() const;
+    /** @return True if a stop was requested and the time for accepting new requests is over. */
     [[nodiscard]] bool closing() const;
-    [[nodiscard]] std::uint32_t routers() const;
+    /** @return Number of routers in the fleet, rather too high than too low. */
+    [[nodiscard]] std::uint32_t routerCount() const;
     [[nodiscard]] Heartbeat heartbeat() const;
     [[nodiscard]] std::string statusText() const;
 
@@ -76,11 +81,12 @@
     ProxyRequests proxyRequests_;
     Ending ending_;
     std::string retiredReason_;
+    /** When the stop was requested. */
     std::optional<Instant> stopRequested_;
     std::optional<AnnounceReadiness> announced_;
     Instant nextWatched_ {};
-    /** Most routers ever seen at once: one that is silent may still send. */
-    std::uint32_t mostRouters_ = 1;
+    /** Maximum number of routers seen alive at once; a router without heartbeats may still send requests. */
+    std::uint32_t maxRoutersSeen_ = 1;
 };
 
 } // namespace swiftlift::node
--- a/src/node/ProxyRequest.h
+++ b/src/node/ProxyRequest.h
@@ -14,71 +14,72 @@
 
 namespace swiftlift::node {
 
-enum class ProxyPhase : std::uint8_t { WaitingForMoney, WaitingForBackend, Running };
+enum class ProxyPhase : std::uint8_t { WaitingForTokens, WaitingForBackend, Running };
 
-/** One request that is passed on as it came, in progress at this router. */
+/** One proxied request in progress at this router. */
 struct ProxyRequest {
     CallId id;
-    ProxyRequestInfo facts;
-    /** The configuration it came under stays its own, whatever comes into force meanwhile. */
+    ProxyRequestInfo info;
+    /** The configuration in force when the request arrived; it applies to the request until its end. */
     RouteTablePtr table;
     const fleet::Route* route = nullptr;
     const fleet::Service* service = nullptr;
-    /** Nobody's: the route is open. */
+    /** Client account of the caller's key; null: the route is open, or the configuration requires no keys. */
     const fleet::Account* account = nullptr;
     std::uint32_t urgency = 0;
-    ProxyPhase phase = ProxyPhase::WaitingForMoney;
-    /** When its first event was passed on. */
+    ProxyPhase phase = ProxyPhase::WaitingForTokens;
+    /** When the first event was forwarded to the caller. */
     std::optional<Instant> firstEventAt;
-    Instant arrived {};
-    /** The caller's own or that of the route, whichever comes first. */
+    Instant arrivedAt {};
+    /** End of the caller's or the route's time limit, whichever is earlier. */
     Instant deadline {};
-    /** When the present phase began. */
-    Instant since {};
-    /** Most tokens that it can cost. */
-    Tokens cost;
+    /** When the current phase began. */
+    Instant phaseStart {};
+    /** Maximum tokens that the request can be billed; 0: not billed. */
+    Tokens maxCost;
     std::optional<ledger::Reservation> reservation;
     /** Set while Running. */
     AttemptId attempt;
     BackendId backend;
-    /** Which life of it, as it registered. */
+    /** Start time that the backend server registered; with `backend` it identifies the instance. */
     std::uint64_t backendStartedAt = 0;
-    /** Where that one stands. */
+    /** Failure domain of `backend`. */
     FailureDomain domain;
-    /** Backend servers it was sent to. */
-    std::uint32_t offers = 0;
-    /** Of these, how many may have run it. */
-    std::uint32_t runs = 0;
+    /** Number of attempts, each at a different backend server. */
+    std::uint32_t dispatches = 0;
+    /** Number of attempts that may have run the request. */
+    std::uint32_t possibleRuns = 0;
+    /** Backend servers that must not get the request again. */
     std::set<BackendId> excluded;
-    /** Events that the caller has been given. */
+    /** Events forwarded to the caller. */
     std::uint64_t events = 0;
-    /** The transport keeps a failure that a backend server answered with. */
+    /** The transport keeps a failure answer of a backend server, which can be forwarded to the caller. */
     bool failureKept = false;
 
     [[nodiscard]] AccountId accountId() const { return account == nullptr ? AccountId {} : account->id; }
-    /** @return The request as it is recognised when it comes again; nothing: it can't be. */
+    /** @return Identifies repetitions of the request; nullopt: the content's digest is not known. */
     [[nodiscard]] std::optional<quarantine::Fingerprint> fingerprint() const
     {
-        return facts.content ? std::optional(quarantine::Fingerprint { accountId(), *facts.content }) : std::nullopt;
+        return info.content ? std::optional(quarantine::Fingerprint { accountId(), *info.content }) : std::nullopt;
     }
     [[nodiscard]] quarantine::BackendInstance backendInstance() const { return { backend, backendStartedAt }; }
-    /** @return Whether another backend server may run it, though one may have run it already. */
+    /** @return Whether a backend server may run the request although another one may already have run it. */
     [[nodiscard]] bool mayRunAgain() const
     {
         return events == 0 ? route->idempotent || route->resumable : route->resumable;
     }
 };
 
-/** What was known of a budget when a request was refused for it. */
+/** A budget's figures when a request was refused for lack of tokens, as far as this router knew them. */
 struct KnownBudget {
     ledger::BudgetView figures;
-    /** The ledger's stream had been read up to here. */
+    /** Offset up to which the ledger's stream had been read. */
     Offset readTo;
-    /** The log was reached, by this router itself or through a peer: the figures are of this moment. */
+    /** The log was reachable, directly or through a peer, so the figures were current. */
     bool logInReach = false;
 };
 
-/** Why a passage ends without an answer, and when asking again is worth it. */
+/** Why a request ends without an answer, and after what time the caller may retry. */
 struct ProxyRefusal {
     int status = 503;
     std::string reason;
--- a/src/node/ProxyRequests.cpp
+++ b/src/node/ProxyRequests.cpp
@@ -16,8 +16,8 @@
         return result;
     }
 
-    /** Spreads requests over a route's targets by what is new with each of them. */
-    [[nodiscard]] std::uint64_t drawOf(const ProxyRequestInfo& facts) { return std::hash<std::string> {}(facts.id); }
+    /** @return Hash that distributes requests over a route's targets; the request id differs with each request. */
+    [[nodiscard]] std::uint64_t targetHash(const ProxyRequestInfo& info) { return std::hash<std::string> {}(info.id); }
 
 } // namespace internal
 
@@ -34,219 +34,224 @@
     , backends_(backends)
     , ledgers_(ledgers)
     , quarantine_(quarantine)
-    , routers_(std::move(routers))
+    , routerCount_(std::move(routers))
     , selector_(
           routing::makeSelector(context.settings().routingPolicy, internal::proxySelectorSettings(context.settings())))
 {
-    assert(selector_ != nullptr && "the settings' check lets only known policies through");
+    assert(selector_ != nullptr && "the settings' check accepts only known routing policies");
 }
 
-void ProxyRequests::refuseImmediately(CallId id, const ProxyRequestInfo& facts, std::string reason, std::string detail)
+void ProxyRequests::refuseImmediately(CallId id, const ProxyRequestInfo& info, std::string reason, std::string detail)
 {
-    const ProxyRefusal why { 503, std::move(reason), std::move(detail), notReadyRetry };
-    logRefusal(why,
+    const ProxyRefusal refusal { 503, std::move(reason), std::move(detail), notReadyRetryAfter };
+    logRefusal(refusal,
         LogLineBuilder("refuse")
-            .with("request", facts.id)
+            .with("request", info.id)
             .with("outcome", "not_run")
             .with("after_ms", std::int64_t { 0 }));
-    context_.emit(Reply { id, Outcome::NotRun, why.status, why.reason, why.detail, why.retryAfter, Tokens {} });
+    context_.emit(
+        Reply { id, Outcome::NotRun, refusal.status, refusal.reason, refusal.detail, refusal.retryAfter, Tokens {} });
 }
 
-void ProxyRequests::arrive(CallId id, const ProxyRequestInfo& facts, Instant at)
+void ProxyRequests::onArrived(CallId id, const ProxyRequestInfo& info, Instant at)
 {
     context_.count("swiftlift_requests_total");
-    auto arrived = std::make_unique<ProxyRequest>();
-    arrived->id = id;
-    arrived->facts = facts;
-    arrived->table = fleet_.routes();
-    arrived->arrived = std::min(at, context_.now());
-    ProxyRequest& passage = *proxyRequests_.emplace(id, std::move(arrived)).first->second;
-    enter(passage, ProxyPhase::WaitingForMoney);
-    if (!findRoute(passage) || !findAccount(passage) || !findService(passage) || refuseQuarantined(passage)) {
+    auto created = std::make_unique<ProxyRequest>();
+    created->id = id;
+    created->info = info;
+    created->table = fleet_.routes();
+    created->arrivedAt = std::min(at, context_.now());
+    ProxyRequest& request = *proxyRequests_.emplace(id, std::move(created)).first->second;
+    enterPhase(request, ProxyPhase::WaitingForTokens);
+    if (!findRoute(request) || !findAccount(request) || !findService(request) || refuseQuarantined(request)) {
         return;
     }
-    stateOf(passage).retries.onRequest(context_.now());
-    seekMoney(passage);
+    serviceState(request).retries.onRequest(context_.now());
+    reserveTokens(request);
 }
 
-bool ProxyRequests::findRoute(ProxyRequest& passage)
+bool ProxyRequests::findRoute(ProxyRequest& request)
 {
-    passage.route = passage.table->find(passage.facts.host, passage.facts.path);
-    if (passage.route == nullptr) {
-        refuseAsUnknown(passage, { 404, "no_route", "no route for this host and path", std::nullopt });
+    request.route = request.table->find(request.info.host, request.info.path);
+    if (request.route == nullptr) {
+        refuseAsUnknown(request, { 404, "no_route", "no route for this host and path", std::nullopt });
         return false;
     }
-    const fleet::Route& route = *passage.route;
-    const Duration limit = std::min(passage.facts.deadline.value_or(route.timeLimit), route.timeLimit);
-    passage.deadline = passage.arrived + limit;
-    passage.urgency = route.urgency;
-    if (passage.deadline - context_.now() < leastTimeLeft) {
-        giveUp(passage, { 503, "deadline_too_short", "no time left when it was looked at", defaultRetryAfter });
+    const fleet::Route& route = *request.route;
+    const Duration limit = std::min(request.info.deadline.value_or(route.timeLimit), route.timeLimit);
+    request.deadline = request.arrivedAt + limit;
+    request.urgency = route.urgency;
+    if (request.deadline - context_.now() < minTimeLeft) {
+        refuse(request,
+            { 503, "deadline_too_short", "no time was left when the router began to handle the request",
+                defaultRetryAfter });
         return false;
     }
     return true;
 }
 
-bool ProxyRequests::findAccount(ProxyRequest& passage)
+bool ProxyRequests::findAccount(ProxyRequest& request)
 {
-    if (!passage.table->requiresKeys() || passage.route->open) {
+    if (!request.table->requiresKeys() || request.route->open) {
         return true;
     }
-    passage.account = passage.table->accountOf(passage.facts.key);
-    if (passage.account == nullptr) {
-        refuseAsUnknown(passage, { 401, "bad_key", "no account has this key", std::nullopt });
+    request.account = request.table->accountOf(request.info.key);
+    if (request.account == nullptr) {
+        refuseAsUnknown(request, { 401, "bad_key", "no account has this key", std::nullopt });
         return false;
     }
-    passage.urgency = passage.account->urgency.value_or(passage.urgency);
+    request.urgency = request.account->urgency.value_or(request.urgency);
     return true;
 }
 
-void ProxyRequests::refuseAsUnknown(ProxyRequest& passage, const ProxyRefusal& why)
+void ProxyRequests::refuseAsUnknown(ProxyRequest& request, const ProxyRefusal& refusal)
 {
     if (fleet_.confirmed()) {
-        giveUp(passage, why);
+        refuse(request, refusal);
         return;
     }
-    // Callers don't come back after a 401 or 404, so these are for what is certain.
-    giveUp(
-        passage, { 503, "config_unconfirmed", why.reason + " by a configuration that may be old", defaultRetryAfter });
+    // Callers don't retry after a 401 or 404, so a router may answer them only by the newest configuration.
+    refuse(request,
+        { 503, "config_unconfirmed", refusal.reason + " by a configuration that may be outdated", defaultRetryAfter });
 }
 
-bool ProxyRequests::findService(ProxyRequest& passage)
+bool ProxyRequests::findService(ProxyRequest& request)
 {
-    const ServiceName name = fleet::RouteTable::target(*passage.route, internal::drawOf(passage.facts));
-    passage.service = passage.table->service(name);
-    if (passage.service == nullptr) {
-        giveUp(passage, { 503, "no_service", "the route names no service that is configured", defaultRetryAfter });
+    const ServiceName name = fleet::RouteTable::target(*request.route, internal::targetHash(request.info));
+    request.service = request.table->service(name);
+    if (request.service == nullptr) {
+        refuse(request, { 503, "no_service", "the route's target service is not configured", defaultRetryAfter });
         return false;
     }
-    if (passage.account != nullptr && passage.account->budget) {
-        passage.cost = passage.facts.promptTokens + passage.facts.maxAnswerTokens;
+    if (request.account != nullptr && request.account->budget) {
+        request.maxCost = request.info.promptTokens + request.info.maxAnswerTokens;
     }
     return true;
 }
 
-// The status says that it has not run, and to whom it is due; the time, that asking again soon is in vain.
-bool ProxyRequests::refuseQuarantined(ProxyRequest& passage)
+// Status 429 says that the request has not run and that the caller is the cause. The retry time is the end of the
+// quarantine, as an earlier retry would be refused again.
+bool ProxyRequests::refuseQuarantined(ProxyRequest& request)
 {
-    const auto request = passage.fingerprint();
-    const auto confined = request ? quarantine_.quarantineEntry(*request) : std::nullopt;
-    if (!confined) {
+    const auto fingerprint = request.fingerprint();
+    const auto entry = fingerprint ? quarantine_.quarantineEntry(*fingerprint) : std::nullopt;
+    if (!entry) {
         return false;
     }
-    giveUp(passage,
-        { 429, "quarantined", std::to_string(confined->serversEnded) + " backend servers ended under it",
-            confined->until - context_.now() });
+    refuse(request,
+        { 429, "quarantined",
+            std::to_string(entry->serversEnded) + " backend servers crashed while running this request",
+            entry->until - context_.now() });
     return true;
 }
 
-BudgetRef ProxyRequests::budgetOf(const ProxyRequest& passage) const
+BudgetRef ProxyRequests::budgetOf(const ProxyRequest& request) const
 {
-    return { passage.accountId(), prepaidBudget() };
+    return { request.accountId(), prepaidBudget() };
 }
 
-RequestKey ProxyRequests::keyOf(const ProxyRequest& passage) const
+RequestKey ProxyRequests::keyOf(const ProxyRequest& request) const
 {
-    return { context_.self().value(), passage.id.value() };
+    return { context_.self().value(), request.id.value() };
 }
 
-void ProxyRequests::seekMoney(ProxyRequest& passage)
+void ProxyRequests::reserveTokens(ProxyRequest& request)
 {
-    if (passage.cost <= Tokens {}) {
-        seekBackend(passage);
+    if (request.maxCost <= Tokens {}) {
+        selectBackend(request);
         return;
     }
-    auto result = ledgers_.of(passage.accountId()).reserve(budgetOf(passage), keyOf(passage), passage.cost);
+    auto result = ledgers_.of(request.accountId()).reserve(budgetOf(request), keyOf(request), request.maxCost);
     if (auto* reservation = std::get_if<ledger::Reservation>(&result)) {
-        passage.reservation = std::move(*reservation);
-        leaveMoneyLine(passage);
-        seekBackend(passage);
+        request.reservation = std::move(*reservation);
+        removeFromTokenQueue(request);
+        selectBackend(request);
         return;
     }
     const auto& shortage = std::get<ledger::Shortage>(result);
-    if (shortage.pending && context_.now() - passage.since < patienceForMoney(passage)) {
-        moneyLines_[budgetOf(passage)].insert(passage.id);
+    if (shortage.pending && context_.now() - request.phaseStart < tokenWaitLimit(request)) {
+        tokenQueues_[budgetOf(request)].insert(request.id);
         return;
     }
-    // "The balance does not cover it" may be said only where it is certain. Money that is merely elsewhere may be here
-    // a moment later, and a caller that is told to pay would not ask again.
+    // 402 (budget exhausted) is allowed only when it is certain, because callers don't retry after it. Tokens that
+    // another router holds may become available here soon.
     const bool exhausted = shortage.reason == ledger::ShortReason::BudgetExhausted;
-    const Duration retryAfter = std::max(shortage.retryAfter, moneyRetryAfter);
-    giveUp(passage,
+    const Duration retryAfter = std::max(shortage.retryAfter, minTokenRetryAfter);
+    refuse(request,
         { exhausted ? 402 : 503, exhausted ? "budget_exhausted" : "budget_elsewhere",
-            "may cost " + std::to_string(passage.cost.value()), retryAfter, knownOf(passage) });
+            "maximum cost in tokens: " + std::to_string(request.maxCost.value()), retryAfter, knownBudget(request) });
 }
 
-// The load it answers: an outage in which loans go to and fro, and hardly any fits. What goes wrong with one patience
-// for all: callers who want an answer within 200 ms are told no after 600. One notices by refusals that all come at
-// that time. Once the objective has passed, the answer would be late whatever comes, and its caller is better told to
-// come back.
-Duration ProxyRequests::patienceForMoney(const ProxyRequest& passage) const
+// During an outage of the log, routers lend each other tokens, and few loans are large enough. With one wait limit for
+// all routes, callers with an objective of 200 ms were refused only after 600 ms, visible as refusals that all come
+// after that time. Once the objective has passed the answer would be late in any case, so an early refusal that the
+// caller can retry is better.
+Duration ProxyRequests::tokenWaitLimit(const ProxyRequest& request) const
 {
-    return std::clamp<Duration>(passage.route->objective, leastMoneyPatience, moneyPatience);
+    return std::clamp<Duration>(request.route->objective, minTokenWait, maxTokenWait);
 }
 
-KnownBudget ProxyRequests::knownOf(const ProxyRequest& passage) const
+KnownBudget ProxyRequests::knownBudget(const ProxyRequest& request) const
 {
-    const ShardLedger& shard = ledgers_.of(passage.accountId());
-    const auto figures = shard.fold().budget(budgetOf(passage));
+    const ShardLedger& shard = ledgers_.of(request.accountId());
+    const auto figures = shard.fold().budget(budgetOf(request));
     return { figures.value_or(ledger::BudgetView {}), shard.fold().nextOffset(), shard.logInReach() };
 }
 
 void ProxyRequests::finishEvent()
 {
-    for (const BudgetRef& budget : std::exchange(moneyArrived_, {})) {
-        spendArrived(budget);
+    for (const BudgetRef& budget : std::exchange(replenishedBudgets_, {})) {
+        retryWaitingFor(budget);
     }
 }
 
-// What goes wrong when each that waits is tried at each arrival: with a hundred in line, every bill that is read and
-// every answer that ends costs a hundred tries, the router has no time left to read its own draws, and the line grows.
-// One notices by `read_to` that stands still while callers are refused.
-void ProxyRequests::spendArrived(const BudgetRef& budget)
+// Skips requests that the spendable tokens can't cover. Without that, each bill read and each answer ended would cost
+// one reservation attempt per waiting request. With a hundred of them the router would have no time left to read its
+// own draws and the queue would grow; the symptom is a `read_to` field that stays the same while callers are refused.
+void ProxyRequests::retryWaitingFor(const BudgetRef& budget)
 {
-    const auto line = moneyLines_.find(budget);
-    if (line == moneyLines_.end()) {
+    const auto queue = tokenQueues_.find(budget);
+    if (queue == tokenQueues_.end()) {
         return;
     }
     const ledger::Holder& holder = ledgers_.of(budget.account).holder();
-    // Those who have waited longest come first; smaller ones behind them may still fit.
-    const std::vector<CallId> waiting(line->second.begin(), line->second.end());
-    Tokens most = holder.spendable(budget);
+    // In order of arrival; requests with a smaller maximum cost may fit although an earlier one does not.
+    const std::vector<CallId> waiting(queue->second.begin(), queue->second.end());
+    Tokens spendable = holder.spendable(budget);
     for (const CallId id : waiting) {
-        if (most <= Tokens {}) {
+        if (spendable <= Tokens {}) {
             return;
         }
-        ProxyRequest* passage = find(id);
-        if (passage == nullptr || passage->cost > most) {
+        ProxyRequest* request = find(id);
+        if (request == nullptr || request->maxCost > spendable) {
             continue;
         }
-        seekMoney(*passage);
-        most = holder.spendable(budget);
+        reserveTokens(*request);
+        spendable = holder.spendable(budget);
     }
 }
 
-void ProxyRequests::retryForMoney()
+void ProxyRequests::retryAllWaitingForTokens()
 {
     std::vector<CallId> waiting;
-    for (const auto& [budget, line] : moneyLines_) {
-        waiting.insert(waiting.end(), line.begin(), line.end());
+    for (const auto& [budget, queue] : tokenQueues_) {
+        waiting.insert(waiting.end(), queue.begin(), queue.end());
     }
     for (const CallId id : waiting) {
-        if (ProxyRequest* passage = find(id)) {
-            seekMoney(*passage);
+        if (ProxyRequest* request = find(id)) {
+            reserveTokens(*request);
         }
     }
 }
 
-void ProxyRequests::leaveMoneyLine(const ProxyRequest& passage)
+void ProxyRequests::removeFromTokenQueue(const ProxyRequest& request)
 {
-    const auto line = moneyLines_.find(budgetOf(passage));
-    if (line == moneyLines_.end() || line->second.erase(passage.id) == 0) {
+    const auto queue = tokenQueues_.find(budgetOf(request));
+    if (queue == tokenQueues_.end() || queue->second.erase(request.id) == 0) {
         return;
     }
-    if (line->second.empty()) {
-        moneyLines_.erase(line);
+    if (queue->second.empty()) {
+        tokenQueues_.erase(queue);
     }
 }
 
@@ -254,25 +259,25 @@
 {
     expire();
     billUncounted();
-    if (context_.now() >= nextMoneyRetry_) {
-        nextMoneyRetry_ = context_.now() + moneyRetryPeriod;
-        retryForMoney();
+    if (context_.now() >= nextTokenRetry_) {
+        nextTokenRetry_ = context_.now() + tokenRetryPeriod;
+        retryAllWaitingForTokens();
     }
     for (const auto& [service, state] : services_) {
-        pump(service);
+        dispatchWaiting(service);
     }
 }
 
-void ProxyRequests::enter(ProxyRequest& passage, ProxyPhase phase)
+void ProxyRequests::enterPhase(ProxyRequest& request, ProxyPhase phase)
 {
-    passage.phase = phase;
-    passage.since = context_.now();
+    request.phase = phase;
+    request.phaseStart = context_.now();
 }
 
-ProxyRequests::ServiceState& ProxyRequests::stateOf(const ProxyRequest& passage)
+ProxyRequests::ServiceState& ProxyRequests::serviceState(const ProxyRequest& request)
 {
     return services_
-        .try_emplace(passage.service->name,
+        .try_emplace(request.service->name,
             ServiceState { routing::Admission(maxWaiting), routing::RetryShare(context_.settings().retries) })
         .first->second;
 }
@@ -283,10 +288,10 @@
     return found == proxyRequests_.end() ? nullptr : found->second.get();
 }
 
-ProxyRequest* ProxyRequests::ofAttempt(AttemptId attempt)
+ProxyRequest* ProxyRequests::findByAttempt(AttemptId attempt)
 {
-    const auto found = byAttempt_.find(attempt);
-    return found == byAttempt_.end() ? nullptr : find(found->second);
+    const auto found = callByAttempt_.find(attempt);
+    return found == callByAttempt_.end() ? nullptr : find(found->second);
 }
 
 } // namespace swiftlift::node
--- a/src/node/ProxyRequests.h
+++ b/src/node/ProxyRequests.h
@@ -22,166 +22,205 @@
 namespace swiftlift::node {
 
 /**
- * @brief Takes each request that is passed on as it came from arrival to its one final answer.
+ * @brief Handles each proxied request from its arrival to its single final answer.
  *
- * Arrival and money stand in ProxyRequests.cpp, the way to a backend server in PassagesDispatch.cpp, the end and its
- * bill in PassagesEnd.cpp. A caller's id names one attempt of it and is never used again. Of a request's content
- * nothing is remembered beyond its end but what the quarantine keeps.
+ * ProxyRequests.cpp: arrival and token reservation. ProxyRequestsDispatch.cpp: choice of a backend server and attempts.
+ * ProxyRequestsEnd.cpp: end and billing. A caller's request id names one attempt of the caller and is never reused.
+ * After a request's end only the quarantine retains data about its content.
  */
 class ProxyRequests {
 public:
-    /** @param routers Routers of the fleet, for this router's share of what all may do together. */
+    /** @param routers Returns the number of routers, for this router's share of the fleet's retries. */
     ProxyRequests(Context& context, const FleetDirectory& fleet, routing::BackendTable& backends, Ledgers& ledgers,
         QuarantineCoordinator& quarantine, std::function<std::uint32_t()> routers);
 
-    /** @param at When it came; not later than now. */
-    void arrive(CallId id, const ProxyRequestInfo& facts, Instant at);
-    void refuseImmediately(CallId id, const ProxyRequestInfo& facts, std::string reason, std::string detail);
+    /**
+     * @brief Starts handling a request.
+     * @param at When the request was complete; a later time than now counts as now.
+     */
+    void onArrived(CallId id, const ProxyRequestInfo& info, Instant at);
+    /** Refuses with status 503 a request that this router does not handle at all, because it starts or stops. */
+    void refuseImmediately(CallId id, const ProxyRequestInfo& info, std::string reason, std::string detail);
     void onProgress(const ProxyAttemptProgress& progress);
-    void onEnded(const ProxyAttemptEnded& ended);
+    void onAttemptEnded(const ProxyAttemptEnded& ended);
     void onAbandoned(const ProxyRequestAbandoned& abandoned);
-    /** @param aliveAt What was sent to the server before is lost with its former life. */
+    /**
+     * @brief Ends the attempts that ran on the previous instance of a restarted backend server.
+     * @param aliveAt Latest time at which the previous instance was known to run; attempts sent before it are lost.
+     */
     void onServerRestarted(const BackendId& server, Instant aliveAt);
-    void onTokensAvailable(const BudgetRef& budget) { moneyArrived_.insert(budget); }
+    void onTokensAvailable(const BudgetRef& budget) { replenishedBudgets_.insert(budget); }
     void tick();
-    /** To be called after each event: tries again what waited for something that came with it. */
+    /** To be called after each event: retries the requests for whose budget tokens became available. */
     void finishEvent();
 
-    /** @return Requests without a final answer, and cut answers without a bill. */
-    [[nodiscard]] std::size_t inProgress() const noexcept { return proxyRequests_.size() + cut_.size(); }
-    /** @return The backend server of the attempt that ended last. */
-    [[nodiscard]] const BackendId& lastBackend() const noexcept { return lastBackend_; }
+    /** @return Number of requests without a final answer, plus cut answers that are not billed yet. */
+    [[nodiscard]] std::size_t inProgress() const noexcept { return proxyRequests_.size() + cutAnswers_.size(); }
+    /** @return The backend server of the attempt that ended most recently. */
+    [[nodiscard]] const BackendId& lastEndedBackend() const noexcept { return lastEndedBackend_; }
 
 private:
-    /** How long a request waits at most for money that is under way; a draw takes two passes of the log. */
-    static constexpr Duration moneyPatience = std::chrono::milliseconds(600);
-    /** Of a route with a shorter objective, at least: a draw's or a loan's way on a quiet day. */
-    static constexpr Duration leastMoneyPatience = std::chrono::milliseconds(150);
-    /** What a request is short of here after its wait is not here a moment later: it has to be given back elsewhere,
-     * read from the log and drawn. A caller that came back at once would be refused again. */
-    static constexpr Duration moneyRetryAfter = std::chrono::seconds(2);
-    static constexpr Duration moneyRetryPeriod = std::chrono::milliseconds(50);
-    /** Backend servers that one request is sent to at most, those that did not start it included. */
-    static constexpr std::uint32_t mostOffers = 4;
-    /** Requests of one service that one router lets wait for a backend server. */
+    /** Maximum wait for pending tokens; a draw takes two passes of the log, append and read back. */
+    static constexpr Duration maxTokenWait = std::chrono::milliseconds(600);
+    /** Minimum wait, for routes with a shorter objective; a draw or loan takes this long without load. */
+    static constexpr Duration minTokenWait = std::chrono::milliseconds(150);
+    /**
+     * Minimum `retryAfter` of a refusal for missing tokens. Before this router can draw them, another router has to
+     * return them and this router has to read that from the log, so an immediate retry would be refused again.
+     */
+    static constexpr Duration minTokenRetryAfter = std::chrono::seconds(2);
+    /** Time between two attempts to reserve tokens for all waiting requests. */
+    static constexpr Duration tokenRetryPeriod = std::chrono::milliseconds(50);
+    /** Maximum number of backend servers that a request is sent to, including those that do not start it. */
+    static constexpr std::uint32_t maxDispatches = 4;
+    /** Maximum number of requests per service that wait at this router for a backend server. */
     static constexpr std::size_t maxWaiting = 256;
-    /** With less time left, no backend server is tried any more: an answer takes a round trip and some work. */
-    static constexpr Duration leastTimeLeft = std::chrono::milliseconds(20);
-    /** A repeatable whole answer that takes this many times its objective is sought elsewhere. */
-    static constexpr int silentObjectives = 3;
-    static constexpr Duration leastSilence = std::chrono::milliseconds(300);
-    /** A stream that may be resumed elsewhere is given up by its backend server's silence for so long. */
-    static constexpr Duration resumableSilence = std::chrono::milliseconds(2500);
-    /** The transport says within milliseconds how much of a cut answer its caller got; without a word it is billed at
-     * its most. */
-    static constexpr Duration countPatience = std::chrono::seconds(2);
-    static constexpr Duration notReadyRetry = std::chrono::milliseconds(500);
+    /** With less time left, no attempt is started: an answer takes at least a round trip and some processing. */
+    static constexpr Duration minTimeLeft = std::chrono::milliseconds(20);
+    /** An idempotent request without a whole answer after this many of its route's objectives is retried elsewhere. */
+    static constexpr int silenceLimitInObjectives = 3;
+    /** Minimum of that silence limit, for routes with a short objective. */
+    static constexpr Duration minSilenceLimit = std::chrono::milliseconds(300);
+    /** Silence after which an attempt at a resumable stream is abandoned and the stream resumed elsewhere. */
+    static constexpr Duration resumableSilenceLimit = std::chrono::milliseconds(2500);
+    /**
+     * How long to wait for the number of events that the caller of a cut answer received. The transport reports the
+     * number within milliseconds; without a report the whole reservation is billed.
+     */
+    static constexpr Duration eventCountTimeout = std::chrono::seconds(2);
+    /** `retryAfter` of refusals while this router starts or stops. */
+    static constexpr Duration notReadyRetryAfter = std::chrono::milliseconds(500);
+    /** `retryAfter` of refusals without a better estimate. */
     static constexpr Duration defaultRetryAfter = std::chrono::milliseconds(500);
 
-    /** What the requests of one service share. */
+    /** State shared by the requests of one service. */
     struct ServiceState {
         routing::Admission admission;
         routing::RetryShare retries;
     };
 
-    /** What was given up and is not billed yet. */
+    /** A request that has ended before its answer was complete, and waits for the event count to be billed. */
     struct CutAnswer {
-        std::unique_ptr<ProxyRequest> passage;
+        std::unique_ptr<ProxyRequest> request;
+        /** Attempt that was running when the request ended. */
         AttemptId attempt;
-        /** When it is billed at its most. */
-        Instant billedAtMost {};
+        /** Without a reported event count by then, the whole reservation is billed. */
+        Instant eventCountDeadline {};
     };
     using CutAnswers = std::map<CallId, CutAnswer>;
 
-    // Arrival and money.
-    [[nodiscard]] bool findRoute(ProxyRequest& passage);
-    [[nodiscard]] bool findAccount(ProxyRequest& passage);
-    [[nodiscard]] bool findService(ProxyRequest& passage);
-    /** @return True when the request was refused, as too many backend servers have ended under it. */
-    [[nodiscard]] bool refuseQuarantined(ProxyRequest& passage);
-    /** Refuses what the configuration doesn't know, if it is known to be the newest. */
-    void refuseAsUnknown(ProxyRequest& passage, const ProxyRefusal& why);
-    void seekMoney(ProxyRequest& passage);
-    [[nodiscard]] Duration patienceForMoney(const ProxyRequest& passage) const;
-    [[nodiscard]] KnownBudget knownOf(const ProxyRequest& passage) const;
-    [[nodiscard]] BudgetRef budgetOf(const ProxyRequest& passage) const;
-    [[nodiscard]] RequestKey keyOf(const ProxyRequest& passage) const;
-    /** Gives money that has come to those who wait for it. */
-    void spendArrived(const BudgetRef& budget);
-    /** Asks again for all that wait: what they wait for may have failed. */
-    void retryForMoney();
-    void leaveMoneyLine(const ProxyRequest& passage);
-
-    // The way to a backend server.
-    void seekBackend(ProxyRequest& passage);
-    [[nodiscard]] bool admitted(ProxyRequest& passage, const routing::AdmissionDecision& verdict);
-    void dispatch(ProxyRequest& passage, const routing::Choice& choice);
-    void tryElsewhere(ProxyRequest& passage, const ProxyAttemptEnded& ended);
-    [[nodiscard]] std::string objectionToRepeat(ProxyRequest& passage);
-    void pump(const ServiceName& service);
-    [[nodiscard]] routing::SelectRequest selectRequest(const ProxyRequest& passage) const;
-    [[nodiscard]] routing::WaitingCall waitingCall(const ProxyRequest& passage) const;
-    [[nodiscard]] std::optional<Duration> silenceLimit(const ProxyRequest& passage) const;
-
-    // The end.
-    /** What the end of an attempt says of its request and of its backend server. */
-    void noteLoss(const ProxyRequest& passage, const ProxyAttemptEnded& ended);
-    void noteReach(const ProxyRequest& passage, ProxyAttemptEnd end);
-    void complete(ProxyRequest& passage, const ProxyAttemptEnded& ended);
-    void giveUp(ProxyRequest& passage, const ProxyRefusal& why);
-    void passFailureOn(ProxyRequest& passage, const std::string& why);
-    void cancelAttempt(ProxyRequest& passage);
-    void closeAttempt(ProxyRequest& passage, routing::EndKind kind);
-    /** @return What was billed: never more than was reserved, and nothing where nothing was. */
-    Tokens settle(ProxyRequest& passage, Tokens actual);
-    /** @return What its caller has been given, as far as is known. */
-    [[nodiscard]] Tokens used(const ProxyRequest& passage) const;
-    /** @return As used(), of an answer that was given whole. */
-    [[nodiscard]] Tokens usedWhole(const ProxyRequest& passage) const;
-    void end(ProxyRequest& passage);
-    /** Takes the passage out of those in progress, and out of the line for a backend server. */
-    [[nodiscard]] std::unique_ptr<ProxyRequest> remove(ProxyRequest& passage);
-    /** Ends what was given up. Its bill, if it was offered to a backend server, waits for the transport's word.
-     * @param attempt The one that was under way, if any. */
-    void endOnceCounted(ProxyRequest& passage, AttemptId attempt);
-    /** The transport has cut an answer: bills it, if it waits for that. */
+    // Arrival and token reservation. The find functions refuse the request and return false if they find nothing.
+    [[nodiscard]] bool findRoute(ProxyRequest& request);
+    [[nodiscard]] bool findAccount(ProxyRequest& request);
+    [[nodiscard]] bool findService(ProxyRequest& request);
+    /** @return True if the request was refused because it is quarantined. */
+    [[nodiscard]] bool refuseQuarantined(ProxyRequest& request);
+    /** Refuses with this refusal if the configuration is known to be the newest, else as `config_unconfirmed`. */
+    void refuseAsUnknown(ProxyRequest& request, const ProxyRefusal& refusal);
+    /** Reserves the request's maximum cost and goes on to a backend server, waits for pending tokens, or refuses. */
+    void reserveTokens(ProxyRequest& request);
+    [[nodiscard]] Duration tokenWaitLimit(const ProxyRequest& request) const;
+    [[nodiscard]] KnownBudget knownBudget(const ProxyRequest& request) const;
+    [[nodiscard]] BudgetRef budgetOf(const ProxyRequest& request) const;
+    [[nodiscard]] RequestKey keyOf(const ProxyRequest& request) const;
+    /** Retries the requests that wait for tokens of this budget, longest waiting first. */
+    void retryWaitingFor(const BudgetRef& budget);
+    /** Retries all requests that wait for tokens, since the draw or loan that they wait for may have failed. */
+    void retryAllWaitingForTokens();
+    void removeFromTokenQueue(const ProxyRequest& request);
+
+    // Choice of a backend server and attempts.
+    /** Dispatches the request, queues it until a backend server has room, or refuses it. */
+    void selectBackend(ProxyRequest& request);
+    /**
+     * @brief Refuses the requests that the admission refused or displaced.
+     * @return True if the request is to be dispatched.
+     */
+    [[nodiscard]] bool applyAdmission(ProxyRequest& request, const routing::AdmissionDecision& decision);
+    void dispatch(ProxyRequest& request, const routing::Choice& choice);
+    void retryOrFail(ProxyRequest& request, const ProxyAttemptEnded& ended);
+    /** @return Why the request must not be sent to another backend server; empty: it may, and one retry is counted. */
+    [[nodiscard]] std::string objectionToRetry(ProxyRequest& request);
+    /** Dispatches waiting requests of the service while backend servers have room. */
+    void dispatchWaiting(const ServiceName& service);
+    [[nodiscard]] routing::SelectRequest makeSelectRequest(const ProxyRequest& request) const;
+    [[nodiscard]] routing::WaitingCall makeWaitingCall(const ProxyRequest& request) const;
+    /** @return Silence after which the attempt is abandoned; nullopt: only the deadline limits it. */
+    [[nodiscard]] std::optional<Duration> silenceLimit(const ProxyRequest& request) const;
+
+    // End and billing.
+    /** Reports to the quarantine what the end of an attempt shows about the request and its backend server. */
+    void reportToQuarantine(const ProxyRequest& request, const ProxyAttemptEnded& ended);
+    /** Updates the reachability of the backend server's failure domain by the end of an attempt. */
+    void updateReachability(const ProxyRequest& request, ProxyAttemptEnd end);
+    void complete(ProxyRequest& request, const ProxyAttemptEnded& ended);
+    /** Ends the request with this refusal and cancels its attempt. */
+    void refuse(ProxyRequest& request, const ProxyRefusal& refusal);
+    /**
+     * @brief Ends the request with the failure answer that the transport keeps.
+     * @param objection Why the request was not retried, for logs.
+     */
+    void forwardFailure(ProxyRequest& request, const std::string& objection);
+    void cancelAttempt(ProxyRequest& request);
+    void closeAttempt(ProxyRequest& request, routing::EndKind kind);
+    /** @return Tokens billed: at most the reserved tokens, 0 without a reservation. */
+    Tokens settle(ProxyRequest& request, Tokens actual);
+    /** @return Tokens to bill for the events that were forwarded, as far as known: prompt and answer. */
+    [[nodiscard]] Tokens forwardedTokens(const ProxyRequest& request) const;
+    /** @return Tokens to bill for an answer that was forwarded completely. */
+    [[nodiscard]] Tokens wholeAnswerTokens(const ProxyRequest& request) const;
+    /** Removes the request, and withdraws its demand for tokens if it waits for them. */
+    void end(ProxyRequest& request);
+    /** Removes the request from those in progress and from the queue for a backend server. */
+    [[nodiscard]] std::unique_ptr<ProxyRequest> remove(ProxyRequest& request);
+    /**
+     * @brief Removes a request that has its final answer. If the request was sent to a backend server, billing waits
+     * for the transport's event count.
+     * @param attempt Attempt that was running, if any.
+     */
+    void finishOnceCounted(ProxyRequest& request, AttemptId attempt);
+    /** Bills the cut answer that this event count belongs to, if there is one. */
     void billAbandoned(const ProxyRequestAbandoned& abandoned);
-    /** An attempt ended as its request was given up: bills that, if it waits for that. */
+    /** Bills the cut answer whose last attempt has ended, if there is one. */
     void billEnded(const ProxyAttemptEnded& ended);
-    /** Bills at their most the answers of which the transport has said nothing for too long. */
+    /** Bills the whole reservation of cut answers whose event count was not reported in time. */
     void billUncounted();
-    void billCut(CutAnswers::iterator cut, Tokens actual);
+    void billCutAnswer(CutAnswers::iterator cut, Tokens actual);
+    /** Refuses requests that have passed their deadline or can't meet it. */
     void expire();
-    /** @param line What is known of the request; the reason is added to it. */
-    void logRefusal(const ProxyRefusal& why, LogLineBuilder line);
+    /** @param line Log line with the request's fields; the refusal's fields are added. */
+    void logRefusal(const ProxyRefusal& refusal, LogLineBuilder line);
 
-    [[nodiscard]] ServiceState& stateOf(const ProxyRequest& passage);
+    [[nodiscard]] ServiceState& serviceState(const ProxyRequest& request);
     [[nodiscard]] ProxyRequest* find(CallId id);
-    [[nodiscard]] ProxyRequest* ofAttempt(AttemptId attempt);
-    void enter(ProxyRequest& passage, ProxyPhase phase);
+    [[nodiscard]] ProxyRequest* findByAttempt(AttemptId attempt);
+    void enterPhase(ProxyRequest& request, ProxyPhase phase);
 
     Context& context_;
     const FleetDirectory& fleet_;
     routing::BackendTable& backends_;
     Ledgers& ledgers_;
     QuarantineCoordinator& quarantine_;
-    std::function<std::uint32_t()> routers_;
+    std::function<std::uint32_t()> routerCount_;
     std::unique_ptr<routing::Selector> selector_;
-    routing::DomainReachability reach_;
+    routing::DomainReachability reachability_;
     std::map<CallId, std::unique_ptr<ProxyRequest>> proxyRequests_;
-    std::map<AttemptId, CallId> byAttempt_;
-    CutAnswers cut_;
+    std::map<AttemptId, CallId> callByAttempt_;
+    CutAnswers cutAnswers_;
     std::map<ServiceName, ServiceState> services_;
-    /** Who waits for money of each budget, in the order in which they came. */
-    std::map<BudgetRef, std::set<CallId>> moneyLines_;
-    /** Budgets with new money since the last event; tried only after it, as reserving may bring more. */
-    std::set<BudgetRef> moneyArrived_;
-    BackendId lastBackend_;
+    /** Requests that wait for tokens of each budget, in order of arrival. */
+    std::map<BudgetRef, std::set<CallId>> tokenQueues_;
+    /**
+     * Budgets with newly available tokens. Their waiting requests are retried after the event, because reserving tokens
+     * may add budgets to this set.
+     */
+    std::set<BudgetRef> replenishedBudgets_;
+    BackendId lastEndedBackend_;
     std::uint64_t lastAttempt_ = 0;
-    Instant nextMoneyRetry_ {};
+    Instant nextTokenRetry_ {};
 };
 
-/** Name of the one budget of an account that the fleet's configuration gives one. */
+/** @return Name of the only budget that an account of the fleet's configuration can have. */
 [[nodiscard]] const BudgetId& prepaidBudget();
 
 } // namespace swiftlift::node
--- a/src/node/ProxyRequestsDispatch.cpp
+++ b/src/node/ProxyRequestsDispatch.cpp
@@ -15,8 +15,8 @@
         return urgency == 1 ? Priority::Normal : Priority::Batch;
     }
 
-    /** The deepest part of the prompt that other requests may share; the last part is the request's own. */
-    [[nodiscard]] std::uint64_t sharedPrefix(const std::vector<PrefixPart>& parts)
+    /** @return Hash of the longest prefix that other requests may share; the last part belongs to this request only. */
+    [[nodiscard]] std::uint64_t sharedPrefixHash(const std::vector<PrefixPart>& parts)
     {
         if (parts.empty()) {
             return 0;
@@ -24,6 +24,7 @@
         return parts.size() == 1 ? parts.front().hash : parts[parts.size() - 2].hash;
     }
 
+    /** @return Tokens of the parts that other requests may share. */
     [[nodiscard]] Tokens sharedTokens(const std::vector<PrefixPart>& parts)
     {
         Tokens sum;
@@ -72,81 +73,83 @@
 
 } // namespace internal
 
-routing::SelectRequest ProxyRequests::selectRequest(const ProxyRequest& passage) const
+routing::SelectRequest ProxyRequests::makeSelectRequest(const ProxyRequest& request) const
 {
-    routing::SelectRequest request;
-    request.service = passage.service->name;
-    request.priority = internal::priorityOf(passage.urgency);
-    request.idempotent = passage.mayRunAgain();
-    request.excluded = passage.excluded;
-    request.unreachableDomains = reach_.unreachableDomains(context_.now());
-    if (passage.route->sharesPrefixes && !passage.facts.prefix.empty()) {
-        request.prefixHash = internal::sharedPrefix(passage.facts.prefix);
-        request.sharedTokens = internal::sharedTokens(passage.facts.prefix);
-        // What is shared is taken to be cached where the request goes, so only its own part costs time.
-        request.promptTokens = passage.facts.prefix.back().tokens;
-    }
-    return request;
+    routing::SelectRequest selection;
+    selection.service = request.service->name;
+    selection.priority = internal::priorityOf(request.urgency);
+    selection.idempotent = request.mayRunAgain();
+    selection.excluded = request.excluded;
+    selection.unreachableDomains = reachability_.unreachableDomains(context_.now());
+    if (request.route->sharesPrefixes && !request.info.prefix.empty()) {
+        selection.prefixHash = internal::sharedPrefixHash(request.info.prefix);
+        selection.sharedTokens = internal::sharedTokens(request.info.prefix);
+        // The shared prefix is assumed to be cached at the chosen backend server, so only the last part takes time.
+        selection.promptTokens = request.info.prefix.back().tokens;
+    }
+    return selection;
 }
 
-routing::WaitingCall ProxyRequests::waitingCall(const ProxyRequest& passage) const
+routing::WaitingCall ProxyRequests::makeWaitingCall(const ProxyRequest& request) const
 {
-    return { passage.id, passage.accountId(), 1, std::max(passage.cost, Tokens { 1 }),
-        internal::priorityOf(passage.urgency), passage.deadline };
+    return { request.id, request.accountId(), 1, std::max(request.maxCost, Tokens { 1 }),
+        internal::priorityOf(request.urgency), request.deadline };
 }
 
-std::optional<Duration> ProxyRequests::silenceLimit(const ProxyRequest& passage) const
+std::optional<Duration> ProxyRequests::silenceLimit(const ProxyRequest& request) const
 {
-    // A backend server's silence is no reason to end what can't be had elsewhere.
-    if (!passage.mayRunAgain() || passage.runs + 1 >= passage.route->maxServers) {
+    // No limit for a request that can't be sent to another backend server: abandoning the attempt would gain nothing.
+    if (!request.mayRunAgain() || request.possibleRuns + 1 >= request.route->maxServers) {
         return std::nullopt;
     }
-    if (passage.route->answer == fleet::AnswerKind::Events) {
-        return resumableSilence;
+    if (request.route->answer == fleet::AnswerKind::Events) {
+        return resumableSilenceLimit;
     }
-    return std::max<Duration>(passage.route->objective * silentObjectives, leastSilence);
+    return std::max<Duration>(request.route->objective * silenceLimitInObjectives, minSilenceLimit);
 }
 
-void ProxyRequests::seekBackend(ProxyRequest& passage)
+void ProxyRequests::selectBackend(ProxyRequest& request)
 {
-    enter(passage, ProxyPhase::WaitingForBackend);
-    const auto choice = selector_->choose(selectRequest(passage), backends_, context_.now());
+    enterPhase(request, ProxyPhase::WaitingForBackend);
+    const auto choice = selector_->choose(makeSelectRequest(request), backends_, context_.now());
     if (!choice && selector_->noChoice() == routing::NoChoice::NoBackend) {
-        if (passage.failureKept) {
-            passFailureOn(passage, selector_->lastReason());
+        if (request.failureKept) {
+            forwardFailure(request, selector_->lastReason());
         } else {
-            giveUp(passage, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
+            refuse(request, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
         }
         return;
     }
     const auto predicted
         = choice ? std::optional<Duration> { choice->predictedFirstToken } : std::optional<Duration> {};
-    const auto verdict = stateOf(passage).admission.admit(waitingCall(passage), predicted, context_.now());
-    if (admitted(passage, verdict) && choice) {
-        dispatch(passage, *choice);
+    const auto decision = serviceState(request).admission.admit(makeWaitingCall(request), predicted, context_.now());
+    if (applyAdmission(request, decision) && choice) {
+        dispatch(request, *choice);
     }
 }
 
-bool ProxyRequests::admitted(ProxyRequest& passage, const routing::AdmissionDecision& verdict)
+bool ProxyRequests::applyAdmission(ProxyRequest& request, const routing::AdmissionDecision& decision)
 {
-    const CallId id = passage.id;
-    for (const CallId displaced : verdict.displaced) {
-        if (ProxyRequest* loser = find(displaced)) {
-            giveUp(*loser, { 429, "account_over_share", "gave way to accounts below their share", defaultRetryAfter });
+    const CallId id = request.id;
+    for (const CallId displaced : decision.displaced) {
+        if (ProxyRequest* displacedRequest = find(displaced)) {
+            refuse(*displacedRequest,
+                { 429, "account_over_share", "displaced from the queue by accounts below their share",
+                    defaultRetryAfter });
         }
     }
-    if (verdict.verdict != routing::AdmissionVerdict::Refuse) {
-        return verdict.verdict == routing::AdmissionVerdict::Dispatch;
+    if (decision.verdict != routing::AdmissionVerdict::Refuse) {
+        return decision.verdict == routing::AdmissionVerdict::Dispatch;
     }
-    const bool overShare = verdict.refusal == routing::AdmissionRefusal::AccountOverShare;
+    const bool overShare = decision.refusal == routing::AdmissionRefusal::AccountOverShare;
     if (ProxyRequest* refused = find(id)) {
-        giveUp(
-            *refused, { overShare ? 429 : 503, routing::toText(verdict.refusal), verdict.detail, verdict.retryAfter });
+        refuse(*refused,
+            { overShare ? 429 : 503, routing::toText(decision.refusal), decision.detail, decision.retryAfter });
     }
     return false;
 }
 
-void ProxyRequests::pump(const ServiceName& service)
+void ProxyRequests::dispatchWaiting(const ServiceName& service)
 {
     const auto state = services_.find(service);
     if (state == services_.end()) {
@@ -154,210 +157,215 @@
     }
     routing::FairQueue& waiting = state->second.admission.queue();
     while (const auto next = waiting.peek()) {
-        ProxyRequest* passage = find(next->call);
-        if (passage == nullptr) {
+        ProxyRequest* request = find(next->call);
+        if (request == nullptr) {
             waiting.remove(next->call);
             continue;
         }
-        const auto choice = selector_->choose(selectRequest(*passage), backends_, context_.now());
+        const auto choice = selector_->choose(makeSelectRequest(*request), backends_, context_.now());
         if (!choice && selector_->noChoice() != routing::NoChoice::NoBackend) {
             return;
         }
         (void)waiting.pop(context_.now());
         if (choice) {
-            dispatch(*passage, *choice);
+            dispatch(*request, *choice);
         } else {
-            giveUp(*passage, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
+            refuse(*request, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
         }
     }
 }
 
-void ProxyRequests::dispatch(ProxyRequest& passage, const routing::Choice& choice)
+void ProxyRequests::dispatch(ProxyRequest& request, const routing::Choice& choice)
 {
-    // It may have waited here while backend servers ended under it elsewhere.
-    if (refuseQuarantined(passage)) {
+    // Backend servers may have crashed under the same request elsewhere while it was queued here.
+    if (refuseQuarantined(request)) {
         return;
     }
     const fleet::BackendServer* server = fleet_.server(choice.backend);
     if (server == nullptr) {
-        giveUp(passage, { 503, "no_backend", "the backend server is not registered any more", defaultRetryAfter });
+        refuse(
+            request, { 503, "no_backend", "the chosen backend server is not registered any more", defaultRetryAfter });
         return;
     }
-    enter(passage, ProxyPhase::Running);
-    passage.attempt = AttemptId { ++lastAttempt_ };
-    passage.backend = choice.backend;
-    passage.backendStartedAt = server->startedAt;
-    passage.domain = server->domain;
-    ++passage.offers;
-    byAttempt_[passage.attempt] = passage.id;
-    const auto& parts = passage.facts.prefix;
-    const Tokens own = parts.empty() ? passage.facts.promptTokens : parts.back().tokens;
-    const Tokens toRead = own + (choice.prefillsSharedPart ? internal::sharedTokens(parts) : Tokens {});
-    backends_.onDispatched(choice.backend, passage.attempt, { 0, toRead, choice.predictedFirstToken }, context_.now());
+    enterPhase(request, ProxyPhase::Running);
+    request.attempt = AttemptId { ++lastAttempt_ };
+    request.backend = choice.backend;
+    request.backendStartedAt = server->startedAt;
+    request.domain = server->domain;
+    ++request.dispatches;
+    callByAttempt_[request.attempt] = request.id;
+    const auto& parts = request.info.prefix;
+    const Tokens lastPartTokens = parts.empty() ? request.info.promptTokens : parts.back().tokens;
+    const Tokens tokensToPrefill
+        = lastPartTokens + (choice.prefillsSharedPart ? internal::sharedTokens(parts) : Tokens {});
+    backends_.onDispatched(
+        choice.backend, request.attempt, { 0, tokensToPrefill, choice.predictedFirstToken }, context_.now());
     context_.log(LogLineBuilder("route")
-                     .with("request", passage.facts.id)
-                     .with("content", toHex(passage.facts.content))
-                     .with("account", passage.accountId().value())
-                     .with("route", passage.route->name.value())
-                     .with("config", static_cast<std::int64_t>(passage.table->config().version))
-                     .with("service", passage.service->name.value())
+                     .with("request", request.info.id)
+                     .with("content", toHex(request.info.content))
+                     .with("account", request.accountId().value())
+                     .with("route", request.route->name.value())
+                     .with("config", static_cast<std::int64_t>(request.table->config().version))
+                     .with("service", request.service->name.value())
                      .with("backend", choice.backend.value())
-                     .with("offer", static_cast<std::int64_t>(passage.offers))
-                     .with("after_event", static_cast<std::int64_t>(passage.events))
-                     .with("waited_ms", toMilliseconds(context_.now() - passage.arrived))
-                     .with("left_ms", toMilliseconds(passage.deadline - context_.now()))
+                     .with("offer", static_cast<std::int64_t>(request.dispatches))
+                     .with("after_event", static_cast<std::int64_t>(request.events))
+                     .with("waited_ms", toMilliseconds(context_.now() - request.arrivedAt))
+                     .with("left_ms", toMilliseconds(request.deadline - context_.now()))
                      .with("predicted_first_ms", toMilliseconds(choice.predictedFirstToken))
                      .with("reason", choice.reason));
-    ProxyDispatch order;
-    order.call = passage.id;
-    order.attempt = passage.attempt;
-    order.backend = choice.backend;
-    order.address = server->address;
-    order.account = passage.accountId();
-    order.urgency = passage.urgency;
-    order.timeLeft = passage.deadline - context_.now();
-    order.answer = passage.route->answer;
-    order.resume = passage.events > 0;
-    order.silenceLimit = silenceLimit(passage);
-    context_.emit(std::move(order));
+    ProxyDispatch action;
+    action.call = request.id;
+    action.attempt = request.attempt;
+    action.backend = choice.backend;
+    action.address = server->address;
+    action.account = request.accountId();
+    action.urgency = request.urgency;
+    action.timeLeft = request.deadline - context_.now();
+    action.answer = request.route->answer;
+    action.resume = request.events > 0;
+    action.silenceLimit = silenceLimit(request);
+    context_.emit(std::move(action));
 }
 
 void ProxyRequests::onProgress(const ProxyAttemptProgress& progress)
 {
-    ProxyRequest* passage = ofAttempt(progress.attempt);
-    if (passage == nullptr) {
+    ProxyRequest* request = findByAttempt(progress.attempt);
+    if (request == nullptr) {
         return;
     }
-    const bool first = passage->events == 0 && progress.events > 0;
-    passage->events = std::max(passage->events, progress.events);
+    const bool first = request->events == 0 && progress.events > 0;
+    request->events = std::max(request->events, progress.events);
     if (first) {
-        passage->firstEventAt = context_.now();
-        backends_.onFirstToken(passage->backend, passage->attempt, context_.now());
-        reach_.onBackendReached(passage->domain);
-        quarantine_.onServerAnswered(passage->backendInstance(), passage->since);
-        stateOf(*passage).admission.onFirstToken(context_.now() - passage->since);
+        request->firstEventAt = context_.now();
+        backends_.onFirstToken(request->backend, request->attempt, context_.now());
+        reachability_.onBackendReached(request->domain);
+        quarantine_.onServerAnswered(request->backendInstance(), request->phaseStart);
+        serviceState(*request).admission.onFirstToken(context_.now() - request->phaseStart);
     }
 }
 
-void ProxyRequests::onEnded(const ProxyAttemptEnded& ended)
+void ProxyRequests::onAttemptEnded(const ProxyAttemptEnded& ended)
 {
-    ProxyRequest* passage = ofAttempt(ended.attempt);
-    if (passage == nullptr) {
-        // A late word on an attempt that was given up: its caller has its final answer already.
+    ProxyRequest* request = findByAttempt(ended.attempt);
+    if (request == nullptr) {
+        // The attempt was cancelled before this event; the caller already has its final answer.
         billEnded(ended);
         return;
     }
-    const ServiceName service = passage->service->name;
-    lastBackend_ = passage->backend;
-    passage->events = std::max(passage->events, ended.events);
-    if (ended.end == ProxyAttemptEnd::Completed && passage->route->answer == fleet::AnswerKind::Whole) {
-        backends_.onFirstToken(passage->backend, passage->attempt, context_.now());
+    const ServiceName service = request->service->name;
+    lastEndedBackend_ = request->backend;
+    request->events = std::max(request->events, ended.events);
+    if (ended.end == ProxyAttemptEnd::Completed && request->route->answer == fleet::AnswerKind::Whole) {
+        backends_.onFirstToken(request->backend, request->attempt, context_.now());
     }
-    noteReach(*passage, ended.end);
-    noteLoss(*passage, ended);
-    closeAttempt(*passage, internal::toEndKind(ended.end));
+    updateReachability(*request, ended.end);
+    reportToQuarantine(*request, ended);
+    closeAttempt(*request, internal::toEndKind(ended.end));
     if (ended.end == ProxyAttemptEnd::Completed) {
-        complete(*passage, ended);
+        complete(*request, ended);
     } else {
-        tryElsewhere(*passage, ended);
+        retryOrFail(*request, ended);
     }
-    pump(service);
+    dispatchWaiting(service);
 }
 
-// What goes wrong otherwise: a server that loses its power closes no connection, and what ran there is waited for until
-// its caller has left, though its next life has registered already and another server could answer.
+// A server that loses power closes no connection. Without this, the router would wait for the requests that ran on the
+// server until their callers give up, although the next instance has already registered and another server could
+// answer.
 void ProxyRequests::onServerRestarted(const BackendId& server, Instant aliveAt)
 {
-    std::vector<ProxyAttemptEnded> lost;
-    for (const auto& [attempt, call] : byAttempt_) {
-        const ProxyRequest* passage = find(call);
-        if (passage != nullptr && passage->backend == server && passage->since < aliveAt) {
-            lost.push_back(
-                { attempt, ProxyAttemptEnd::Broken, 0, passage->events, "the backend server started again", true });
+    std::vector<ProxyAttemptEnded> lostAttempts;
+    for (const auto& [attempt, call] : callByAttempt_) {
+        const ProxyRequest* request = find(call);
+        if (request != nullptr && request->backend == server && request->phaseStart < aliveAt) {
+            lostAttempts.push_back(
+                { attempt, ProxyAttemptEnd::Broken, 0, request->events, "the backend server restarted", true });
         }
     }
-    for (const ProxyAttemptEnded& ended : lost) {
+    for (const ProxyAttemptEnded& ended : lostAttempts) {
         context_.emit(CancelAttempt { ended.attempt });
-        onEnded(ended);
+        onAttemptEnded(ended);
     }
 }
 
-void ProxyRequests::noteReach(const ProxyRequest& passage, ProxyAttemptEnd end)
+void ProxyRequests::updateReachability(const ProxyRequest& request, ProxyAttemptEnd end)
 {
     const Instant now = context_.now();
-    const bool before = reach_.seemsUnreachable(passage.domain, now);
+    const bool wasUnreachable = reachability_.seemsUnreachable(request.domain, now);
     if (end == ProxyAttemptEnd::Unreachable) {
-        reach_.onBackendUnreachable(passage.domain, passage.backend, now);
+        reachability_.onBackendUnreachable(request.domain, request.backend, now);
     } else if (end != ProxyAttemptEnd::Broken) {
-        reach_.onBackendReached(passage.domain);
+        reachability_.onBackendReached(request.domain);
     }
-    if (const bool after = reach_.seemsUnreachable(passage.domain, now); after != before) {
+    if (const bool isUnreachable = reachability_.seemsUnreachable(request.domain, now);
+        isUnreachable != wasUnreachable) {
         context_.log(LogLineBuilder("domain")
-                         .with("domain", passage.domain.value())
-                         .with("change", after ? "doubtful" : "reached")
-                         .with("request", passage.facts.id)
-                         .with("backend", passage.backend.value()));
+                         .with("domain", request.domain.value())
+                         .with("change", isUnreachable ? "doubtful" : "reached")
+                         .with("request", request.info.id)
+                         .with("backend", request.backend.value()));
     }
 }
 
-void ProxyRequests::noteLoss(const ProxyRequest& passage, const ProxyAttemptEnded& ended)
+void ProxyRequests::reportToQuarantine(const ProxyRequest& request, const ProxyAttemptEnded& ended)
 {
     const bool answered = ended.end == ProxyAttemptEnd::Completed;
     if (answered || ended.end == ProxyAttemptEnd::Failed || ended.end == ProxyAttemptEnd::Refused) {
-        quarantine_.onServerAnswered(passage.backendInstance(), passage.since);
+        quarantine_.onServerAnswered(request.backendInstance(), request.phaseStart);
     }
-    const auto request = passage.fingerprint();
-    if (request && answered) {
-        quarantine_.onAnswered(*request);
-    } else if (request && ended.connectionLost) {
-        quarantine_.onRequestLost(*request, passage.backendInstance(), passage.facts.id);
+    const auto fingerprint = request.fingerprint();
+    if (fingerprint && answered) {
+        quarantine_.onAnswered(*fingerprint);
+    } else if (fingerprint && ended.connectionLost) {
+        quarantine_.onRequestLost(*fingerprint, request.backendInstance(), request.info.id);
     }
 }
 
-void ProxyRequests::tryElsewhere(ProxyRequest& passage, const ProxyAttemptEnded& ended)
+void ProxyRequests::retryOrFail(ProxyRequest& request, const ProxyAttemptEnded& ended)
 {
     const bool mayHaveRun = ended.end == ProxyAttemptEnd::Failed || ended.end == ProxyAttemptEnd::Broken;
-    passage.runs += mayHaveRun ? 1 : 0;
-    passage.failureKept = passage.failureKept || ended.end == ProxyAttemptEnd::Failed;
+    request.possibleRuns += mayHaveRun ? 1 : 0;
+    request.failureKept = request.failureKept || ended.end == ProxyAttemptEnd::Failed;
     context_.log(LogLineBuilder("attempt_failed")
-                     .with("request", passage.facts.id)
-                     .with("content", toHex(passage.facts.content))
-                     .with("backend", passage.backend.value())
+                     .with("request", request.info.id)
+                     .with("content", toHex(request.info.content))
+                     .with("backend", request.backend.value())
                      .with("connection_lost", ended.connectionLost)
                      .with("end", internal::toText(ended.end))
                      .with("status", static_cast<std::int64_t>(ended.status))
-                     .with("events", static_cast<std::int64_t>(passage.events))
+                     .with("events", static_cast<std::int64_t>(request.events))
                      .with("detail", ended.detail));
-    const std::string objection = objectionToRepeat(passage);
+    const std::string objection = objectionToRetry(request);
     if (objection.empty()) {
-        seekBackend(passage);
-    } else if (passage.failureKept) {
-        passFailureOn(passage, objection);
-    } else if (passage.runs > 0) {
-        giveUp(passage, { 502, "backend_lost", ended.detail + "; " + objection, std::nullopt });
+        selectBackend(request);
+    } else if (request.failureKept) {
+        forwardFailure(request, objection);
+    } else if (request.possibleRuns > 0) {
+        refuse(request, { 502, "backend_lost", ended.detail + "; " + objection, std::nullopt });
     } else {
-        giveUp(passage, { 503, "not_started", ended.detail + "; " + objection, defaultRetryAfter });
+        refuse(request, { 503, "not_started", ended.detail + "; " + objection, defaultRetryAfter });
     }
 }
 
-std::string ProxyRequests::objectionToRepeat(ProxyRequest& passage)
+std::string ProxyRequests::objectionToRetry(ProxyRequest& request)
 {
-    if (passage.runs > 0 && !passage.mayRunAgain()) {
-        return "it may run only once";
+    if (request.possibleRuns > 0 && !request.mayRunAgain()) {
+        return "the request may run only once";
     }
-    if (const auto request = passage.fingerprint(); request && quarantine_.quarantineEntry(*request)) {
-        return "too many backend servers ended under it";
+    if (const auto fingerprint = request.fingerprint(); fingerprint && quarantine_.quarantineEntry(*fingerprint)) {
+        return "too many backend servers crashed while running this request";
     }
-    if (passage.runs >= passage.route->maxServers) {
-        return "as many backend servers as the route allows may have run it";
+    if (request.possibleRuns >= request.route->maxServers) {
+        return "the route's maximum number of backend servers may have run the request";
     }
-    if (passage.offers >= mostOffers) {
-        return "offered to enough backend servers";
+    if (request.dispatches >= maxDispatches) {
+        return "sent to the maximum number of backend servers";
     }
-    if (passage.deadline - context_.now() < leastTimeLeft) {
-        return "no time left";
+    if (request.deadline - context_.now() < minTimeLeft) {
+        return "no time left for another attempt";
     }
-    if (!stateOf(passage).retries.take(routers_(), context_.now())) {
+    if (!serviceState(request).retries.take(routerCount_(), context_.now())) {
         return "this router's share of the fleet's retries is used up";
     }
     return {};
--- a/src/node/ProxyRequestsEnd.cpp
+++ b/src/node/ProxyRequestsEnd.cpp
@@ -9,252 +9,255 @@
 
 namespace {
 
-    constexpr int statusTooMany = 429;
+    constexpr int statusTooManyRequests = 429;
     constexpr int statusBadGateway = 502;
     constexpr int statusUnavailable = 503;
 
 } // namespace
 
-void ProxyRequests::complete(ProxyRequest& passage, const ProxyAttemptEnded& ended)
+void ProxyRequests::complete(ProxyRequest& request, const ProxyAttemptEnded& ended)
 {
-    passage.runs += 1;
-    const Tokens billed = settle(passage, usedWhole(passage));
-    context_.log(LogLineBuilder("answered")
-                     .with("request", passage.facts.id)
-                     .with("account", passage.accountId().value())
-                     .with("backend", passage.backend.value())
-                     .with("status", static_cast<std::int64_t>(ended.status))
-                     .with("events", static_cast<std::int64_t>(passage.events))
-                     .with("billed", billed.value())
-                     .with("first_ms", toMilliseconds(passage.firstEventAt.value_or(context_.now()) - passage.arrived))
-                     .with("took_ms", toMilliseconds(context_.now() - passage.arrived)));
+    request.possibleRuns += 1;
+    const Tokens billed = settle(request, wholeAnswerTokens(request));
+    context_.log(
+        LogLineBuilder("answered")
+            .with("request", request.info.id)
+            .with("account", request.accountId().value())
+            .with("backend", request.backend.value())
+            .with("status", static_cast<std::int64_t>(ended.status))
+            .with("events", static_cast<std::int64_t>(request.events))
+            .with("billed", billed.value())
+            .with("first_ms", toMilliseconds(request.firstEventAt.value_or(context_.now()) - request.arrivedAt))
+            .with("took_ms", toMilliseconds(context_.now() - request.arrivedAt)));
     context_.count("swiftlift_answers_total");
-    end(passage);
+    end(request);
 }
 
-void ProxyRequests::passFailureOn(ProxyRequest& passage, const std::string& why)
+void ProxyRequests::forwardFailure(ProxyRequest& request, const std::string& objection)
 {
     context_.log(LogLineBuilder("failure_passed_on")
-                     .with("request", passage.facts.id)
-                     .with("account", passage.accountId().value())
-                     .with("backend", passage.backend.value())
-                     .with("not_repeated", why)
-                     .with("took_ms", toMilliseconds(context_.now() - passage.arrived)));
+                     .with("request", request.info.id)
+                     .with("account", request.accountId().value())
+                     .with("backend", request.backend.value())
+                     .with("not_repeated", objection)
+                     .with("took_ms", toMilliseconds(context_.now() - request.arrivedAt)));
     context_.count("swiftlift_failures_passed_on_total");
-    context_.emit(ProxyFailureReply { passage.id });
-    endOnceCounted(passage, passage.attempt);
+    context_.emit(ProxyFailureReply { request.id });
+    finishOnceCounted(request, request.attempt);
 }
 
-void ProxyRequests::giveUp(ProxyRequest& passage, const ProxyRefusal& why)
+void ProxyRequests::refuse(ProxyRequest& request, const ProxyRefusal& refusal)
 {
-    const AttemptId attempt = passage.attempt;
-    const bool running = passage.phase == ProxyPhase::Running && attempt != AttemptId {};
-    passage.runs += running ? 1 : 0;
-    cancelAttempt(passage);
-    const Outcome outcome = passage.runs > 0 ? Outcome::Unknown : Outcome::NotRun;
-    ProxyRefusal told = why;
-    // These statuses say that a request has not run. Of one that may have run, that would be a lie.
-    if (passage.runs > 0 && (why.status == statusTooMany || why.status == statusUnavailable)) {
-        told.status = statusBadGateway;
+    const AttemptId attempt = request.attempt;
+    const bool running = request.phase == ProxyPhase::Running && attempt != AttemptId {};
+    request.possibleRuns += running ? 1 : 0;
+    cancelAttempt(request);
+    const Outcome outcome = request.possibleRuns > 0 ? Outcome::Unknown : Outcome::NotRun;
+    ProxyRefusal reported = refusal;
+    // These statuses state that the request has not run, which would be false for a request that may have run.
+    if (request.possibleRuns > 0 && (refusal.status == statusTooManyRequests || refusal.status == statusUnavailable)) {
+        reported.status = statusBadGateway;
     }
-    logRefusal(told,
+    logRefusal(reported,
         LogLineBuilder("refuse")
-            .with("request", passage.facts.id)
-            .with("account", passage.accountId().value())
-            .with("config", static_cast<std::int64_t>(passage.table->config().version))
+            .with("request", request.info.id)
+            .with("account", request.accountId().value())
+            .with("config", static_cast<std::int64_t>(request.table->config().version))
             .with("outcome", toText(outcome))
-            .with("after_ms", toMilliseconds(context_.now() - passage.arrived)));
-    context_.emit(Reply { passage.id, outcome, told.status, told.reason, told.detail, told.retryAfter, Tokens {} });
-    endOnceCounted(passage, attempt);
+            .with("after_ms", toMilliseconds(context_.now() - request.arrivedAt)));
+    context_.emit(Reply {
+        request.id, outcome, reported.status, reported.reason, reported.detail, reported.retryAfter, Tokens {} });
+    finishOnceCounted(request, attempt);
 }
 
-// What goes wrong when a request that was offered to a backend server is billed as it is given up: events that the
-// transport passes on at that moment are not known here yet, and nobody pays for them; billed at its most instead, its
-// caller pays for what it never got. One notices by bills of a whole reservation beside streams that ended early. What
-// was passed on until the transport cuts the answer, only the transport knows; the reservation is kept until it says
-// so.
-void ProxyRequests::endOnceCounted(ProxyRequest& passage, AttemptId attempt)
+// Only the transport knows how many events it forwarded until it cut the answer, so the reservation is kept until the
+// transport reports that number. Billing at once by the events known here would leave events unpaid that the transport
+// is forwarding at that moment; billing the whole reservation would charge the caller for tokens it never received,
+// visible as bills of whole reservations beside streams that ended early.
+void ProxyRequests::finishOnceCounted(ProxyRequest& request, AttemptId attempt)
 {
-    if (passage.offers == 0 || !passage.reservation) {
-        settle(passage, {});
-        end(passage);
+    if (request.dispatches == 0 || !request.reservation) {
+        settle(request, {});
+        end(request);
         return;
     }
-    const CallId id = passage.id;
-    cut_.emplace(id, CutAnswer { remove(passage), attempt, context_.now() + countPatience });
+    const CallId id = request.id;
+    cutAnswers_.emplace(id, CutAnswer { remove(request), attempt, context_.now() + eventCountTimeout });
 }
 
 void ProxyRequests::billAbandoned(const ProxyRequestAbandoned& abandoned)
 {
-    if (const auto cut = cut_.find(abandoned.call); cut != cut_.end()) {
-        ProxyRequest& passage = *cut->second.passage;
-        passage.events = std::max(passage.events, abandoned.events);
-        billCut(cut, used(passage));
+    if (const auto cut = cutAnswers_.find(abandoned.call); cut != cutAnswers_.end()) {
+        ProxyRequest& request = *cut->second.request;
+        request.events = std::max(request.events, abandoned.events);
+        billCutAnswer(cut, forwardedTokens(request));
     }
 }
 
 void ProxyRequests::billEnded(const ProxyAttemptEnded& ended)
 {
-    const auto cut = std::ranges::find(cut_, ended.attempt, [](const auto& entry) { return entry.second.attempt; });
-    if (cut != cut_.end()) {
-        ProxyRequest& passage = *cut->second.passage;
-        passage.events = std::max(passage.events, ended.events);
-        billCut(cut, ended.end == ProxyAttemptEnd::Completed ? usedWhole(passage) : used(passage));
+    const auto cut
+        = std::ranges::find(cutAnswers_, ended.attempt, [](const auto& entry) { return entry.second.attempt; });
+    if (cut != cutAnswers_.end()) {
+        ProxyRequest& request = *cut->second.request;
+        request.events = std::max(request.events, ended.events);
+        billCutAnswer(
+            cut, ended.end == ProxyAttemptEnd::Completed ? wholeAnswerTokens(request) : forwardedTokens(request));
     }
 }
 
 void ProxyRequests::billUncounted()
 {
-    for (auto cut = cut_.begin(); cut != cut_.end();) {
+    for (auto cut = cutAnswers_.begin(); cut != cutAnswers_.end();) {
         const auto next = std::next(cut);
-        if (context_.now() >= cut->second.billedAtMost) {
-            billCut(cut, cut->second.passage->cost);
+        if (context_.now() >= cut->second.eventCountDeadline) {
+            billCutAnswer(cut, cut->second.request->maxCost);
         }
         cut = next;
     }
 }
 
-void ProxyRequests::billCut(CutAnswers::iterator cut, Tokens actual)
+void ProxyRequests::billCutAnswer(CutAnswers::iterator cut, Tokens actual)
 {
-    ProxyRequest& passage = *cut->second.passage;
-    if (const Tokens billed = settle(passage, actual); billed > Tokens {}) {
+    ProxyRequest& request = *cut->second.request;
+    if (const Tokens billed = settle(request, actual); billed > Tokens {}) {
         context_.log(LogLineBuilder("cut_billed")
-                         .with("request", passage.facts.id)
-                         .with("account", passage.accountId().value())
-                         .with("events", static_cast<std::int64_t>(passage.events))
+                         .with("request", request.info.id)
+                         .with("account", request.accountId().value())
+                         .with("events", static_cast<std::int64_t>(request.events))
                          .with("billed", billed.value()));
     }
-    cut_.erase(cut);
+    cutAnswers_.erase(cut);
 }
 
-void ProxyRequests::logRefusal(const ProxyRefusal& why, LogLineBuilder line)
+void ProxyRequests::logRefusal(const ProxyRefusal& refusal, LogLineBuilder line)
 {
-    line = line.with("status", static_cast<std::int64_t>(why.status))
-               .with("reason", why.reason)
-               .with("detail", why.detail)
-               .with("retry_after_ms", why.retryAfter ? toMilliseconds(*why.retryAfter) : -1);
-    if (why.budget) {
-        line = line.with("bought", why.budget->figures.bought.value())
-                   .with("billed", why.budget->figures.billed.value())
-                   .with("held", why.budget->figures.held.value())
-                   .with("read_to", static_cast<std::int64_t>(why.budget->readTo.value()))
-                   .with("log_in_reach", why.budget->logInReach);
+    line = line.with("status", static_cast<std::int64_t>(refusal.status))
+               .with("reason", refusal.reason)
+               .with("detail", refusal.detail)
+               .with("retry_after_ms", refusal.retryAfter ? toMilliseconds(*refusal.retryAfter) : -1);
+    if (refusal.budget) {
+        line = line.with("bought", refusal.budget->figures.bought.value())
+                   .with("billed", refusal.budget->figures.billed.value())
+                   .with("held", refusal.budget->figures.held.value())
+                   .with("read_to", static_cast<std::int64_t>(refusal.budget->readTo.value()))
+                   .with("log_in_reach", refusal.budget->logInReach);
     }
     context_.log(line);
-    context_.count("swiftlift_refusals_total", { { "reason", why.reason } });
+    context_.count("swiftlift_refusals_total", { { "reason", refusal.reason } });
 }
 
 void ProxyRequests::onAbandoned(const ProxyRequestAbandoned& abandoned)
 {
-    ProxyRequest* passage = find(abandoned.call);
-    if (passage == nullptr) {
+    ProxyRequest* request = find(abandoned.call);
+    if (request == nullptr) {
         billAbandoned(abandoned);
         return;
     }
-    passage->events = std::max(passage->events, abandoned.events);
-    const ServiceName service = passage->service->name;
-    passage->runs += passage->phase == ProxyPhase::Running ? 1 : 0;
-    cancelAttempt(*passage);
-    const Tokens billed = settle(*passage, used(*passage));
+    request->events = std::max(request->events, abandoned.events);
+    const ServiceName service = request->service->name;
+    request->possibleRuns += request->phase == ProxyPhase::Running ? 1 : 0;
+    cancelAttempt(*request);
+    const Tokens billed = settle(*request, forwardedTokens(*request));
     context_.log(LogLineBuilder("caller_gone")
-                     .with("request", passage->facts.id)
-                     .with("account", passage->accountId().value())
-                     .with("events", static_cast<std::int64_t>(passage->events))
+                     .with("request", request->info.id)
+                     .with("account", request->accountId().value())
+                     .with("events", static_cast<std::int64_t>(request->events))
                      .with("billed", billed.value())
-                     .with("after_ms", toMilliseconds(context_.now() - passage->arrived)));
-    end(*passage);
-    pump(service);
+                     .with("after_ms", toMilliseconds(context_.now() - request->arrivedAt)));
+    end(*request);
+    dispatchWaiting(service);
 }
 
-void ProxyRequests::cancelAttempt(ProxyRequest& passage)
+void ProxyRequests::cancelAttempt(ProxyRequest& request)
 {
-    if (passage.phase != ProxyPhase::Running || passage.attempt == AttemptId {}) {
+    if (request.phase != ProxyPhase::Running || request.attempt == AttemptId {}) {
         return;
     }
-    context_.emit(CancelAttempt { passage.attempt });
-    closeAttempt(passage, routing::EndKind::Cancelled);
+    context_.emit(CancelAttempt { request.attempt });
+    closeAttempt(request, routing::EndKind::Cancelled);
 }
 
-void ProxyRequests::closeAttempt(ProxyRequest& passage, routing::EndKind kind)
+void ProxyRequests::closeAttempt(ProxyRequest& request, routing::EndKind kind)
 {
-    backends_.onFinished(passage.backend, passage.attempt, { kind, Tokens {}, Tokens {} }, context_.now());
-    byAttempt_.erase(passage.attempt);
-    passage.excluded.insert(passage.backend);
-    passage.attempt = AttemptId {};
+    backends_.onFinished(request.backend, request.attempt, { kind, Tokens {}, Tokens {} }, context_.now());
+    callByAttempt_.erase(request.attempt);
+    request.excluded.insert(request.backend);
+    request.attempt = AttemptId {};
 }
 
-// What the account was given: of the answer what was passed on, and the prompt once, with the first event of it.
-// What goes wrong when the prompt counts as soon as a backend server has the request: callers who leave before the
-// first event, and requests that fail or break off there, pay for nothing. One notices by `caller_gone` lines
-// with 0 events and a bill, and by accounts that are refused with 402 though they were given less than they
-// bought.
-Tokens ProxyRequests::used(const ProxyRequest& passage) const
+// Counts the forwarded part of the answer, and the prompt once, from the first event on. If the prompt counted from the
+// dispatch on, callers that disconnect before the first event and requests that fail before it would be billed without
+// having received anything. The symptoms are `caller_gone` lines with 0 events and a bill, and accounts refused with
+// 402 although they received less than they bought.
+Tokens ProxyRequests::forwardedTokens(const ProxyRequest& request) const
 {
-    if (passage.events == 0) {
+    if (request.events == 0) {
         return {};
     }
-    const std::uint64_t perEvent = passage.service->engine ? passage.service->engine->tokensPerEvent : 1;
-    const Tokens answer { static_cast<std::int64_t>(passage.events * perEvent) };
-    return passage.facts.promptTokens + std::min(answer, passage.facts.maxAnswerTokens);
+    const std::uint64_t perEvent = request.service->engine ? request.service->engine->tokensPerEvent : 1;
+    const Tokens answer { static_cast<std::int64_t>(request.events * perEvent) };
+    return request.info.promptTokens + std::min(answer, request.info.maxAnswerTokens);
 }
 
-// How many tokens a whole body is, nobody here can tell; it is billed at its most.
-Tokens ProxyRequests::usedWhole(const ProxyRequest& passage) const
+// The number of tokens in an answer that comes as one body is not known here, so the maximum cost is billed.
+Tokens ProxyRequests::wholeAnswerTokens(const ProxyRequest& request) const
 {
-    return passage.route->answer == fleet::AnswerKind::Whole ? passage.cost : used(passage);
+    return request.route->answer == fleet::AnswerKind::Whole ? request.maxCost : forwardedTokens(request);
 }
 
-Tokens ProxyRequests::settle(ProxyRequest& passage, Tokens actual)
+Tokens ProxyRequests::settle(ProxyRequest& request, Tokens actual)
 {
-    if (!passage.reservation) {
+    if (!request.reservation) {
         return {};
     }
-    ShardLedger& shard = ledgers_.of(passage.accountId());
-    const Tokens billed = std::min(actual, passage.reservation->amount);
+    ShardLedger& shard = ledgers_.of(request.accountId());
+    const Tokens billed = std::min(actual, request.reservation->amount);
     if (billed > Tokens {}) {
-        (void)shard.settle(*passage.reservation, billed);
+        (void)shard.settle(*request.reservation, billed);
     } else {
-        shard.release(*passage.reservation);
+        shard.release(*request.reservation);
     }
-    passage.reservation.reset();
+    request.reservation.reset();
     return billed;
 }
 
-void ProxyRequests::end(ProxyRequest& passage)
+void ProxyRequests::end(ProxyRequest& request)
 {
-    if (passage.phase == ProxyPhase::WaitingForMoney && passage.cost > Tokens {}) {
-        leaveMoneyLine(passage);
-        ledgers_.of(passage.accountId()).withdraw(budgetOf(passage), keyOf(passage));
+    if (request.phase == ProxyPhase::WaitingForTokens && request.maxCost > Tokens {}) {
+        removeFromTokenQueue(request);
+        ledgers_.of(request.accountId()).withdraw(budgetOf(request), keyOf(request));
     }
-    (void)remove(passage);
+    (void)remove(request);
 }
 
-std::unique_ptr<ProxyRequest> ProxyRequests::remove(ProxyRequest& passage)
+std::unique_ptr<ProxyRequest> ProxyRequests::remove(ProxyRequest& request)
 {
-    if (passage.service != nullptr) {
-        stateOf(passage).admission.queue().remove(passage.id);
+    if (request.service != nullptr) {
+        serviceState(request).admission.queue().remove(request.id);
     }
-    return std::move(proxyRequests_.extract(passage.id).mapped());
+    return std::move(proxyRequests_.extract(request.id).mapped());
 }
 
 void ProxyRequests::expire()
 {
-    std::vector<std::pair<CallId, ProxyRefusal>> over;
+    std::vector<std::pair<CallId, ProxyRefusal>> expired;
     for (auto& [service, state] : services_) {
         for (const CallId id : state.admission.expire(context_.now())) {
-            over.push_back({ id, { 503, "deadline_too_short", "waited as long as it could", defaultRetryAfter } });
+            expired.push_back({ id,
+                { 503, "deadline_too_short", "the remaining time is too short for an answer", defaultRetryAfter } });
         }
     }
-    for (const auto& [id, passage] : proxyRequests_) {
-        if (context_.now() < passage->deadline) {
+    for (const auto& [id, request] : proxyRequests_) {
+        if (context_.now() < request->deadline) {
             continue;
         }
-        const bool running = passage->phase == ProxyPhase::Running || passage->runs > 0;
-        over.push_back({ id, { running ? 504 : 503, "deadline_passed", "", std::nullopt } });
+        const bool running = request->phase == ProxyPhase::Running || request->possibleRuns > 0;
+        expired.push_back({ id, { running ? 504 : 503, "deadline_passed", "", std::nullopt } });
     }
-    for (const auto& [id, why] : over) {
-        if (ProxyRequest* passage = find(id)) {
-            giveUp(*passage, why);
+    for (const auto& [id, refusal] : expired) {
+        if (ProxyRequest* request = find(id)) {
+            refuse(*request, refusal);
         }
     }
 }
