--- a/src/node/Call.h
+++ b/src/node/Call.h
@@ -12,12 +12,12 @@
 
 namespace swiftlift::node {
 
-enum class Phase : std::uint8_t {
-    WaitingForMoney,
+enum class CallPhase : std::uint8_t {
+    WaitingForTokens,
     WaitingForClaim,
     WaitingForBackend,
     Running,
-    /** The answer is whole and billed; the bill has to outlive this process before the caller is told. */
+    /** The answer is complete and billed; the caller gets the final answer once the bill can survive this process. */
     SecuringBill,
 };
 
@@ -26,37 +26,39 @@
     CallId id;
     CallerRequest request;
     ServiceDocumentPtr service;
-    settings::AccountUse use;
-    Phase phase = Phase::WaitingForMoney;
+    settings::AccountUse accountUse;
+    CallPhase phase = CallPhase::WaitingForTokens;
     Instant arrived {};
     Instant deadline {};
-    /** When the present phase began. */
-    Instant since {};
-    /** Most that the request can cost. */
-    Tokens cost;
+    /** When the current phase began. */
+    Instant phaseStart {};
+    /** Maximum tokens that the request can be billed. */
+    Tokens maxCost;
     std::optional<ledger::Reservation> reservation;
     /** Set while Running. */
     AttemptId attempt;
     BackendId backend;
     std::uint32_t attemptsMade = 0;
-    /** Of these, how many may have been started. */
+    /** Attempts that broke off and may have run the request. */
     std::uint32_t attemptsBroken = 0;
+    /** Backend servers that must not get the request again. */
     std::set<BackendId> excluded;
-    /** Tokens that the caller has been passed on. */
+    /** Tokens forwarded to the caller. */
     Tokens delivered;
-    std::optional<Instant> firstToken;
-    /** While SecuringBill: what is to be secured, and the bill. */
+    /** When the first token was forwarded. */
+    std::optional<Instant> firstTokenAt;
+    /** Set while SecuringBill: the bill's number among this router's ledger items, and the billed grant. 0: no bill. */
     std::uint64_t billSequence = 0;
     GrantId billedGrant;
-    /** Nobody else can close the grant; asked before the bill, as the holding may be over after it. */
+    /** Only this router can close the grant. Read before billing, as the router may not hold the grant afterwards. */
     bool isHolderOnly = false;
     Tokens billed;
 
     [[nodiscard]] bool isModel() const noexcept { return service->kind == settings::BackendKind::Model; }
 };
 
-/** Why a request is given up, and when asking again is worth it. */
-struct GivingUp {
+/** Why a request is refused, and after what time the caller may retry. */
+struct Refusal {
     int status = 503;
     std::string reason;
     std::string detail;
--- a/src/node/Core.cpp
+++ b/src/node/Core.cpp
@@ -18,8 +18,8 @@
         }
     }
 
-    /** Lets the composition that the settings ask for do something. */
-    template <typename Work> void with(const Work& work)
+    /** Calls `work` with the Gateway or CoreState, whichever the settings selected. */
+    template <typename Work> void callSelected(const Work& work)
     {
         if (gateway) {
             work(*gateway);
@@ -43,19 +43,19 @@
 
 void Core::start(Instant now, Actions& actions)
 {
-    state_->with([&](auto& composition) {
-        composition.context().begin(now, actions);
-        composition.start();
+    state_->callSelected([&](auto& selected) {
+        selected.context().begin(now, actions);
+        selected.start();
     });
 }
 
 void Core::handle(const Event& event, Instant now, Actions& actions)
 {
-    state_->with([&](auto& composition) {
-        composition.context().begin(now, actions);
-        composition.beginEvent();
-        std::visit([&composition](const auto& happened) { composition.on(happened); }, event);
-        composition.finishEvent();
+    state_->callSelected([&](auto& selected) {
+        selected.context().begin(now, actions);
+        selected.beginEvent();
+        std::visit([&selected](const auto& alternative) { selected.on(alternative); }, event);
+        selected.finishEvent();
     });
 }
 
--- a/src/node/Ending.h
+++ b/src/node/Ending.h
@@ -9,16 +9,17 @@
 
 namespace swiftlift::node {
 
-/** What there is to end before an incarnation is over. */
+/** Work that has to be finished before an incarnation ends. */
 struct OpenWork {
+    /** Requests in progress. */
     std::size_t requests = 0;
-    /** Nothing of this incarnation is left open in the ledger. */
+    /** The ledger has no open grants, loans or items of this incarnation. */
     bool drained = false;
-    /** Ledger items that have not been read back. */
+    /** Ledger items that have not been read back from the log. */
     std::size_t unreadItems = 0;
 };
 
-/** Decides when an incarnation that takes on nothing new any more is over. */
+/** Decides when an incarnation that accepts no new requests has ended, and emits StopReady or Restart. */
 class Ending {
 public:
     explicit Ending(Context& context)
@@ -27,18 +28,20 @@
     }
 
     /**
-     * @param stopping The process is to end.
-     * @param retiredReason Why the incarnation was retired; empty: it was not.
+     * @brief To be called at each tick.
+     * @param stopping The process is stopping and no longer accepts requests.
+     * @param retiredReason Why the ledger retired the incarnation; empty: it did not.
+     * @param open What is still unfinished.
      */
     void tick(bool stopping, const std::string& retiredReason, const OpenWork& open);
 
 private:
-    /** After a stop or retirement with the log out of reach: how long to wait for holdings to be given back. */
-    static constexpr Duration drainPatience = std::chrono::seconds(10);
+    /** Maximum wait, once no request is in progress, until all tokens are returned to the ledger. */
+    static constexpr Duration drainTimeout = std::chrono::seconds(10);
 
     Context& context_;
     std::optional<Instant> idleSince_;
-    bool over_ = false;
+    bool ended_ = false;
 };
 
 } // namespace swiftlift::node
--- a/src/node/Explanations.cpp
+++ b/src/node/Explanations.cpp
@@ -19,10 +19,10 @@
     if (isNew) {
         order_.push_back(*request);
     }
-    if (entry->second.size() < linesPerRequest) {
+    if (entry->second.size() < maxLinesPerRequest) {
         entry->second.push_back({ now, line });
     }
-    if (order_.size() > remembered) {
+    if (order_.size() > maxRequests) {
         lines_.erase(order_.front());
         order_.pop_front();
     }
--- a/src/node/Explanations.h
+++ b/src/node/Explanations.h
@@ -11,24 +11,24 @@
 
 namespace swiftlift::node {
 
-/** A decision that named a request. */
+/** A log line about a request, with its time. */
 struct Explanation {
     Instant when {};
     LogLine line;
 };
 
-/** The latest decisions on each request, for operators who ask why. */
+/** Retains the log lines about recent requests, for the operator's `explain` query. */
 class Explanations {
 public:
-    /** Requests remembered; past that the oldest are forgotten. */
-    static constexpr std::size_t remembered = 4096;
-    /** Lines kept for one request. */
-    static constexpr std::size_t linesPerRequest = 32;
+    /** Maximum number of requests; beyond that, the oldest is dropped. */
+    static constexpr std::size_t maxRequests = 4096;
+    /** Maximum number of lines per request; later lines are dropped. */
+    static constexpr std::size_t maxLinesPerRequest = 32;
 
-    /** Keeps the line when it has a field `request`. */
+    /** Retains the line if it has a text field `request`. */
     void remember(const LogLine& line, Instant now);
 
-    /** @return The decisions on this caller's request id, oldest first; empty when unknown. */
+    /** @return Log lines about the request with this caller's id, oldest first; empty: the id is unknown. */
     [[nodiscard]] std::vector<Explanation> of(const std::string& request) const;
 
 private:
--- a/src/node/Overloaded.h
+++ b/src/node/Overloaded.h
@@ -2,7 +2,7 @@
 
 namespace swiftlift::node::internal {
 
-/** Handlers of a variant's alternatives, for std::visit. */
+/** Combines one handler for each alternative of a variant, for std::visit. */
 template <typename... Handlers> struct Overloaded : Handlers... {
     using Handlers::operator()...;
 };
--- a/src/node/Requests.cpp
+++ b/src/node/Requests.cpp
@@ -27,25 +27,25 @@
     , services_(services)
     , backends_(backends)
     , shards_(std::move(shards))
-    , unserved_(std::move(unserved))
+    , unservedListener_(std::move(unserved))
     , selector_(routing::makeSelector(context.settings().routingPolicy, internal::selectorSettings(context.settings())))
 {
-    assert(selector_ != nullptr && "the settings' check lets only known policies through");
+    assert(selector_ != nullptr && "the settings' check accepts only known routing policies");
 }
 
-void Requests::refuseImmediately(CallId id, const CallerRequest& request, const GivingUp& why)
+void Requests::refuseImmediately(CallId id, const CallerRequest& request, const Refusal& refusal)
 {
-    const bool firstAttempt = request.attempt <= 1 && table_.find(request.key) == nullptr && !inDoubt();
+    const bool firstAttempt = request.attempt <= 1 && table_.find(request.key) == nullptr && !isHistoryUnknown();
     const Outcome outcome = firstAttempt ? Outcome::NotRun : Outcome::Unknown;
     context_.log(LogLineBuilder("refuse")
                      .with("request", request.id.value())
                      .with("account", request.account.value())
                      .with("service", request.service.value())
                      .with("outcome", toText(outcome))
-                     .with("reason", why.reason)
-                     .with("detail", why.detail));
-    context_.count("swiftlift_refusals_total", { { "reason", why.reason } });
-    context_.emit(Reply { id, outcome, why.status, why.reason, why.detail, why.retryAfter, Tokens {} });
+                     .with("reason", refusal.reason)
+                     .with("detail", refusal.detail));
+    context_.count("swiftlift_refusals_total", { { "reason", refusal.reason } });
+    context_.emit(Reply { id, outcome, refusal.status, refusal.reason, refusal.detail, refusal.retryAfter, Tokens {} });
 }
 
 void Requests::arrive(CallId id, CallerRequest request)
@@ -64,16 +64,16 @@
         refuseDuplicate(*call, arrival);
         return;
     }
-    if (inDoubt()) {
+    if (isHistoryUnknown()) {
         table_.markHistoryUnknown(facts.key);
     }
-    byKey_[facts.key] = id;
-    Call& placed = *calls_.emplace(id, std::move(call)).first->second;
-    stateOf(placed).retries.onFirstAttempt(context_.now());
-    enter(placed, Phase::WaitingForMoney);
-    // Whom the ledger has refused already need not wait for money first.
-    if (!endByKnownClaim(placed)) {
-        seekMoney(placed);
+    callByKey_[facts.key] = id;
+    Call& inserted = *calls_.emplace(id, std::move(call)).first->second;
+    serviceState(inserted).retries.onFirstAttempt(context_.now());
+    enterPhase(inserted, CallPhase::WaitingForTokens);
+    // A request whose key is already claimed or voided is refused without waiting for tokens.
+    if (!refuseIfClaimed(inserted)) {
+        reserveTokens(inserted);
     }
 }
 
@@ -82,7 +82,7 @@
     const CallerRequest& request = call.request;
     const auto account = shards_(request.account).fold().account(request.account);
     if (!account || account->closed || account->keyHash != request.keyHash) {
-        refuseImmediately(call.id, request, { 401, "bad_key", "no such open account, or another key", std::nullopt });
+        refuseImmediately(call.id, request, { 401, "bad_key", "no open account with this id and key", std::nullopt });
         return false;
     }
     call.service = services_.find(request.service);
@@ -91,13 +91,14 @@
         return false;
     }
     const auto& uses = call.service->accounts;
-    const auto use = std::find_if(
+    const auto accountUse = std::find_if(
         uses.begin(), uses.end(), [&](const auto& candidate) { return candidate.account == request.account; });
-    if (use == uses.end()) {
-        refuseImmediately(call.id, request, { 404, "unknown_service", "not open to this account", std::nullopt });
+    if (accountUse == uses.end()) {
+        refuseImmediately(
+            call.id, request, { 404, "unknown_service", "the service is not open to this account", std::nullopt });
         return false;
     }
-    call.use = *use;
+    call.accountUse = *accountUse;
     return checkLimits(call);
 }
 
@@ -106,7 +107,8 @@
     const CallerRequest& request = call.request;
     const settings::Limits& limits = call.service->limits;
     if (request.body.size() > limits.maxBodyBytes) {
-        refuseImmediately(call.id, request, { 413, "body_too_large", "over the service's limit", std::nullopt });
+        refuseImmediately(
+            call.id, request, { 413, "body_too_large", "the body is over the service's limit", std::nullopt });
         return false;
     }
     if (call.isModel()) {
@@ -114,13 +116,13 @@
         const bool answerFits
             = request.maxAnswerTokens > Tokens {} && request.maxAnswerTokens <= limits.maxAnswerTokens;
         if (!promptFits || !answerFits) {
-            refuseImmediately(
-                call.id, request, { 400, "bad_request", "prompt or max_tokens outside the limits", std::nullopt });
+            refuseImmediately(call.id, request,
+                { 400, "bad_request", "prompt or max_tokens outside the service's limits", std::nullopt });
             return false;
         }
-        call.cost = request.promptTokens + request.maxAnswerTokens;
+        call.maxCost = request.promptTokens + request.maxAnswerTokens;
     } else {
-        call.cost = limits.callCost;
+        call.maxCost = limits.callCost;
     }
     call.deadline = call.arrived + request.deadline.value_or(limits.deadline);
     return true;
@@ -138,66 +140,67 @@
     const bool notRun = record->ended == Outcome::NotRun;
     const char* reason = notRun ? "voided" : "already_answered";
     context_.emit(Reply { call.id, notRun ? Outcome::NotRun : Outcome::Unknown, 409, reason,
-        notRun ? "will never run under this id: use a new one" : "ended before: " + record->reason, std::nullopt,
-        record->billed });
+        notRun ? "the request will never run under this id: use a new id"
+               : "the request ended before: " + record->reason,
+        std::nullopt, record->billed });
 }
 
-void Requests::enter(Call& call, Phase phase)
+void Requests::enterPhase(Call& call, CallPhase phase)
 {
     call.phase = phase;
-    call.since = context_.now();
+    call.phaseStart = context_.now();
 }
 
-void Requests::seekMoney(Call& call)
+void Requests::reserveTokens(Call& call)
 {
-    if (call.cost <= Tokens {}) {
-        seekClaim(call);
+    if (call.maxCost <= Tokens {}) {
+        requestClaim(call);
         return;
     }
-    const BudgetRef budget { call.request.account, call.use.budget };
-    auto result = shards_(call.request.account).reserve(budget, call.request.key, call.cost);
+    const BudgetRef budget { call.request.account, call.accountUse.budget };
+    auto result = shards_(call.request.account).reserve(budget, call.request.key, call.maxCost);
     if (auto* reservation = std::get_if<ledger::Reservation>(&result)) {
         call.reservation = std::move(*reservation);
-        seekClaim(call);
+        requestClaim(call);
         return;
     }
     const auto& shortage = std::get<ledger::Shortage>(result);
-    const bool outOfPatience = context_.now() - call.since >= moneyPatience;
-    if (shortage.pending && !outOfPatience) {
+    const bool waitedTooLong = context_.now() - call.phaseStart >= maxTokenWait;
+    if (shortage.pending && !waitedTooLong) {
         return;
     }
     const bool exhausted = shortage.reason == ledger::ShortReason::BudgetExhausted;
-    giveUp(call,
-        { 402, exhausted ? "budget_exhausted" : "budget_elsewhere", "short of " + std::to_string(call.cost.value()),
-            shortage.retryAfter });
+    refuse(call,
+        { 402, exhausted ? "budget_exhausted" : "budget_elsewhere",
+            "maximum cost in tokens: " + std::to_string(call.maxCost.value()), shortage.retryAfter });
 }
 
-void Requests::seekClaim(Call& call)
+void Requests::requestClaim(Call& call)
 {
     if (call.request.idempotent) {
-        seekBackend(call);
+        selectBackend(call);
         return;
     }
     if (!shards_(call.request.account).logInReach()) {
-        giveUp(call, { 503, "claim_unavailable", "the platform's log can't be reached", defaultRetryAfter });
+        refuse(call, { 503, "claim_unavailable", "the platform's log can't be reached", defaultRetryAfter });
         return;
     }
-    if (endByKnownClaim(call)) {
+    if (refuseIfClaimed(call)) {
         return;
     }
-    enter(call, Phase::WaitingForClaim);
+    enterPhase(call, CallPhase::WaitingForClaim);
     table_.claimSent(call.request.key);
     shards_(call.request.account).append(ledger::Claim { call.request.key });
 }
 
-bool Requests::endByKnownClaim(Call& call)
+bool Requests::refuseIfClaimed(Call& call)
 {
     const auto owner = shards_(call.request.account).fold().claimOwner(call.request.key);
     if (call.request.idempotent || !owner) {
         return false;
     }
-    // What goes wrong: this router claimed the key, ran the request and has forgotten it since; a retry that took the
-    // claim for its own would run it twice. So only a claim that this very request sent counts as ours.
+    // Only a claim that this call itself appended counts as its own. This router may have claimed the key for an
+    // earlier attempt and forgotten the request since; a retry that took over that claim would run the request twice.
     table_.claimFound(call.request.key, *owner);
     decideClaim(call, *owner, false);
     return true;
@@ -206,34 +209,37 @@
 void Requests::onClaimDecided(const RequestKey& key, Incarnation owner)
 {
     table_.claimDecided(key, owner, context_.self());
-    const auto found = byKey_.find(key);
-    Call* call = found == byKey_.end() ? nullptr : find(found->second);
-    if (call != nullptr && call->phase == Phase::WaitingForClaim) {
+    const auto found = callByKey_.find(key);
+    Call* call = found == callByKey_.end() ? nullptr : find(found->second);
+    if (call != nullptr && call->phase == CallPhase::WaitingForClaim) {
         decideClaim(*call, owner, owner == context_.self());
     }
 }
 
-void Requests::decideClaim(Call& call, Incarnation owner, bool ours)
+void Requests::decideClaim(Call& call, Incarnation owner, bool ownClaim)
 {
-    if (ours) {
-        seekBackend(call);
+    if (ownClaim) {
+        selectBackend(call);
     } else if (owner == Incarnation {}) {
-        giveUp(call, { 409, "voided", "will never run under this id: use a new one", std::nullopt });
+        refuse(call, { 409, "voided", "the request will never run under this id: use a new id", std::nullopt });
     } else {
-        giveUp(call, { 409, "claimed_elsewhere", "router " + toHex(owner.value()) + " has it", defaultRetryAfter });
+        refuse(call,
+            { 409, "claimed_elsewhere", "router " + toHex(owner.value()) + " has claimed the request",
+                defaultRetryAfter });
     }
 }
 
 void Requests::onSelfPaused()
 {
-    // What goes wrong: callers lose patience with a paused router and ask elsewhere, where their requests run. Waking
-    // up, this router finds them in its buffers, refuses them, and says "not run" of what has run. One notices by a
-    // refusal that comes after the answer. So it vouches for nothing that may have waited here during the pause.
-    doubtUntil_ = context_.now() + pauseDoubt;
+    // While a router is paused, its callers time out and retry at other routers, where their requests run. The paused
+    // router then still has these requests in its buffers. If it refused them as "not run" the statement would be
+    // false; the symptom is a refusal that arrives after the answer. So requests that may have been buffered during the
+    // pause count as requests of unknown history.
+    historyUnknownUntil_ = context_.now() + unknownHistoryPeriod;
     table_.markInProgressHistoryUnknown();
 }
 
-bool Requests::inDoubt() const { return doubtUntil_ && context_.now() < *doubtUntil_; }
+bool Requests::isHistoryUnknown() const { return historyUnknownUntil_ && context_.now() < *historyUnknownUntil_; }
 
 void Requests::callerDisconnected(CallId id)
 {
@@ -241,11 +247,11 @@
     if (call == nullptr) {
         return;
     }
-    if (call->phase == Phase::SecuringBill) {
+    if (call->phase == CallPhase::SecuringBill) {
         end(*call, Outcome::Answered, "answered", call->billed);
         return;
     }
-    const Tokens spent = spentSoFar(*call);
+    const Tokens spent = forwardedTokens(*call);
     cancelAttempt(*call);
     settle(*call, spent);
     context_.log(LogLineBuilder("caller_gone")
@@ -256,31 +262,31 @@
     end(*call, outcome, "caller_gone", spent);
 }
 
-void Requests::onTokensAvailable(const BudgetRef& budget) { moneyArrived_.insert(budget); }
+void Requests::onTokensAvailable(const BudgetRef& budget) { replenishedBudgets_.insert(budget); }
 
 void Requests::finishEvent()
 {
-    answerSecured();
-    const auto arrived = std::exchange(moneyArrived_, {});
+    answerBilledCalls();
+    const auto arrived = std::exchange(replenishedBudgets_, {});
     if (arrived.empty()) {
         return;
     }
-    retryForMoney([&](const Call& call) {
-        return arrived.contains(BudgetRef { call.request.account, call.use.budget });
+    retryTokenReservations([&](const Call& call) {
+        return arrived.contains(BudgetRef { call.request.account, call.accountUse.budget });
     });
 }
 
-void Requests::retryForMoney(const std::function<bool(const Call&)>& wanted)
+void Requests::retryTokenReservations(const std::function<bool(const Call&)>& matches)
 {
     std::vector<CallId> waiting;
     for (const auto& [id, call] : calls_) {
-        if (call->phase == Phase::WaitingForMoney && wanted(*call)) {
+        if (call->phase == CallPhase::WaitingForTokens && matches(*call)) {
             waiting.push_back(id);
         }
     }
     for (const CallId id : waiting) {
         if (Call* call = find(id)) {
-            seekMoney(*call);
+            reserveTokens(*call);
         }
     }
 }
@@ -288,15 +294,15 @@
 void Requests::tick()
 {
     expire();
-    if (context_.now() >= nextMoneyRetry_) {
-        nextMoneyRetry_ = context_.now() + moneyRetryPeriod;
-        retryForMoney([](const Call&) { return true; });
+    if (context_.now() >= nextTokenRetry_) {
+        nextTokenRetry_ = context_.now() + tokenRetryPeriod;
+        retryTokenReservations([](const Call&) { return true; });
     }
-    pumpAll();
+    dispatchAllWaiting();
     context_.gauge("swiftlift_requests_in_progress", static_cast<double>(calls_.size()));
 }
 
-Requests::ServiceState& Requests::stateOf(const Call& call)
+Requests::ServiceState& Requests::serviceState(const Call& call)
 {
     const settings::ServiceDocument& document = *call.service;
     auto [state, isNew] = serviceStates_.try_emplace(document.service,
--- a/src/node/RequestsDispatch.cpp
+++ b/src/node/RequestsDispatch.cpp
@@ -25,7 +25,7 @@
 
 } // namespace internal
 
-routing::SelectRequest Requests::selectRequest(const Call& call) const
+routing::SelectRequest Requests::makeSelectRequest(const Call& call) const
 {
     routing::SelectRequest request;
     request.service = call.request.service;
@@ -38,48 +38,51 @@
     return request;
 }
 
-routing::WaitingCall Requests::waitingCall(const Call& call) const
+routing::WaitingCall Requests::makeWaitingCall(const Call& call) const
 {
-    return { call.id, call.request.account, call.use.weight, call.cost, call.request.priority, call.deadline };
+    return { call.id, call.request.account, call.accountUse.weight, call.maxCost, call.request.priority,
+        call.deadline };
 }
 
-void Requests::seekBackend(Call& call)
+void Requests::selectBackend(Call& call)
 {
-    enter(call, Phase::WaitingForBackend);
-    const auto choice = selector_->choose(selectRequest(call), backends_, context_.now());
+    enterPhase(call, CallPhase::WaitingForBackend);
+    const auto choice = selector_->choose(makeSelectRequest(call), backends_, context_.now());
     if (!choice && selector_->noChoice() == routing::NoChoice::NoBackend) {
-        unserved_(call.service->model);
-        giveUp(call, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
+        unservedListener_(call.service->model);
+        refuse(call, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
         return;
     }
     const auto predicted
         = choice ? std::optional<Duration> { choice->predictedFirstToken } : std::optional<Duration> {};
-    const auto verdict = stateOf(call).admission.admit(waitingCall(call), predicted, context_.now());
-    if (admitted(call, verdict) && choice) {
+    const auto decision = serviceState(call).admission.admit(makeWaitingCall(call), predicted, context_.now());
+    if (applyAdmission(call, decision) && choice) {
         dispatch(call, *choice);
     }
 }
 
-bool Requests::admitted(Call& call, const routing::AdmissionDecision& verdict)
+bool Requests::applyAdmission(Call& call, const routing::AdmissionDecision& decision)
 {
     const CallId id = call.id;
-    for (const CallId displaced : verdict.displaced) {
-        if (Call* loser = find(displaced)) {
-            giveUp(*loser, { 429, "account_over_share", "gave way to accounts below their share", defaultRetryAfter });
+    for (const CallId displaced : decision.displaced) {
+        if (Call* displacedCall = find(displaced)) {
+            refuse(*displacedCall,
+                { 429, "account_over_share", "displaced from the queue by accounts below their share",
+                    defaultRetryAfter });
         }
     }
-    if (verdict.verdict != routing::AdmissionVerdict::Refuse) {
-        return verdict.verdict == routing::AdmissionVerdict::Dispatch;
+    if (decision.verdict != routing::AdmissionVerdict::Refuse) {
+        return decision.verdict == routing::AdmissionVerdict::Dispatch;
     }
-    const bool overShare = verdict.refusal == routing::AdmissionRefusal::AccountOverShare;
+    const bool overShare = decision.refusal == routing::AdmissionRefusal::AccountOverShare;
     if (Call* refused = find(id)) {
-        giveUp(
-            *refused, { overShare ? 429 : 503, routing::toText(verdict.refusal), verdict.detail, verdict.retryAfter });
+        refuse(*refused,
+            { overShare ? 429 : 503, routing::toText(decision.refusal), decision.detail, decision.retryAfter });
     }
     return false;
 }
 
-void Requests::pump(const ServiceName& service)
+void Requests::dispatchWaiting(const ServiceName& service)
 {
     const auto state = serviceStates_.find(service);
     if (state == serviceStates_.end()) {
@@ -92,7 +95,7 @@
             waiting.remove(next->call);
             continue;
         }
-        const auto choice = selector_->choose(selectRequest(*call), backends_, context_.now());
+        const auto choice = selector_->choose(makeSelectRequest(*call), backends_, context_.now());
         if (!choice && selector_->noChoice() != routing::NoChoice::NoBackend) {
             return;
         }
@@ -100,16 +103,16 @@
         if (choice) {
             dispatch(*call, *choice);
         } else {
-            unserved_(call->service->model);
-            giveUp(*call, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
+            unservedListener_(call->service->model);
+            refuse(*call, { 503, "no_backend", selector_->lastReason(), selector_->retryAfter() });
         }
     }
 }
 
-void Requests::pumpAll()
+void Requests::dispatchAllWaiting()
 {
     for (const auto& [service, state] : serviceStates_) {
-        pump(service);
+        dispatchWaiting(service);
     }
 }
 
@@ -117,15 +120,15 @@
 {
     const RequestKey& key = call.request.key;
     if (!table_.mayDispatch(key)) {
-        giveUp(call, { 409, "may_not_run", "another run can't be ruled out", defaultRetryAfter });
+        refuse(call, { 409, "may_not_run", "another run of the request can't be ruled out", defaultRetryAfter });
         return;
     }
     table_.dispatched(key);
-    enter(call, Phase::Running);
+    enterPhase(call, CallPhase::Running);
     call.attempt = AttemptId { ++lastAttempt_ };
     call.backend = choice.backend;
     ++call.attemptsMade;
-    byAttempt_[call.attempt] = call.id;
+    callByAttempt_[call.attempt] = call.id;
     backends_.onDispatched(
         choice.backend, call.attempt, { call.request.prefixHash, call.request.promptTokens }, context_.now());
     LogLineBuilder line("route");
@@ -151,30 +154,30 @@
 
 void Requests::onProgress(const AttemptProgress& progress)
 {
-    const auto found = byAttempt_.find(progress.attempt);
-    if (found == byAttempt_.end()) {
+    const auto found = callByAttempt_.find(progress.attempt);
+    if (found == callByAttempt_.end()) {
         return;
     }
     Call* call = find(found->second);
     call->delivered = std::max(call->delivered, progress.answerTokens);
-    observeFirstToken(*call);
+    noteFirstToken(*call);
 }
 
-void Requests::observeFirstToken(Call& call)
+void Requests::noteFirstToken(Call& call)
 {
-    if (call.firstToken) {
+    if (call.firstTokenAt) {
         return;
     }
-    call.firstToken = context_.now();
+    call.firstTokenAt = context_.now();
     backends_.onFirstToken(call.backend, call.attempt, context_.now());
-    stateOf(call).admission.onFirstToken(context_.now() - call.since);
+    serviceState(call).admission.onFirstToken(context_.now() - call.phaseStart);
 }
 
 void Requests::onAttemptEnded(const AttemptEnded& ended)
 {
-    const auto found = byAttempt_.find(ended.attempt);
-    if (found == byAttempt_.end()) {
-        // A late word on an attempt that was given up: its caller has its final answer already.
+    const auto found = callByAttempt_.find(ended.attempt);
+    if (found == callByAttempt_.end()) {
+        // The attempt was cancelled before this event; the caller already has its final answer.
         return;
     }
     Call& call = *find(found->second);
@@ -184,9 +187,9 @@
     if (ended.end == AttemptEnd::Completed) {
         complete(call, ended);
     } else {
-        tryElsewhere(call, ended);
+        retryOrFail(call, ended);
     }
-    pump(service);
+    dispatchWaiting(service);
 }
 
 void Requests::finishAttempt(Call& call, AttemptEnd end, const AttemptEnded* facts)
@@ -198,12 +201,12 @@
         finish.cachedPromptTokens = facts->cachedPromptTokens;
     }
     backends_.onFinished(call.backend, call.attempt, finish, context_.now());
-    byAttempt_.erase(call.attempt);
+    callByAttempt_.erase(call.attempt);
     call.excluded.insert(call.backend);
     call.attempt = AttemptId {};
 }
 
-void Requests::tryElsewhere(Call& call, const AttemptEnded& ended)
+void Requests::retryOrFail(Call& call, const AttemptEnded& ended)
 {
     context_.log(LogLineBuilder("attempt_failed")
                      .with("request", call.request.id.value())
@@ -212,36 +215,37 @@
                      .with("delivered", call.delivered.value())
                      .with("detail", ended.detail));
     if (!table_.mayDispatch(call.request.key)) {
-        giveUp(call, { 502, "backend_lost", ended.detail, std::nullopt });
+        refuse(call, { 502, "backend_lost", ended.detail, std::nullopt });
         return;
     }
-    // What goes wrong otherwise: all engines of a failure domain say "full", a request spends its attempts on them in a
-    // few milliseconds and is refused, though other domains have room. An offer that was not taken up did no work, so
-    // it counts against a bound of its own.
+    // Attempts that did not start the request did no work, so they count against a separate limit. Otherwise, when all
+    // engines of a failure domain answer that they are full, a request would use up its attempts on them within a few
+    // milliseconds and be refused, although other failure domains have room.
     call.attemptsBroken += ended.end == AttemptEnd::Broken ? 1 : 0;
-    if (call.attemptsBroken >= call.service->retry.attempts || call.excluded.size() >= mostOffers) {
-        giveUp(call, { 503, "no_backend", "all attempts failed: " + ended.detail, defaultRetryAfter });
+    if (call.attemptsBroken >= call.service->retry.attempts || call.excluded.size() >= maxDispatches) {
+        refuse(call, { 503, "no_backend", "all attempts failed: " + ended.detail, defaultRetryAfter });
         return;
     }
-    routing::RetryBudget& retries = stateOf(call).retries;
-    // A backend server that did not start the request has done no work: sending it on adds no load worth bounding.
+    routing::RetryBudget& retries = serviceState(call).retries;
+    // A backend server that did not start the request has done no work, so such a retry doesn't use the retry budget.
     if (ended.end == AttemptEnd::Broken && !retries.tryRetry(context_.now())) {
-        giveUp(call, { 429, "retry_budget", "too many retries of late", retries.retryAfter(context_.now()) });
+        refuse(call,
+            { 429, "retry_budget", "the service's budget of retries is used up", retries.retryAfter(context_.now()) });
         return;
     }
-    seekBackend(call);
+    selectBackend(call);
 }
 
 void Requests::cancelAttempt(Call& call)
 {
-    if (call.phase != Phase::Running || call.attempt == AttemptId {}) {
+    if (call.phase != CallPhase::Running || call.attempt == AttemptId {}) {
         return;
     }
     context_.emit(CancelAttempt { call.attempt });
     backends_.onFinished(
         call.backend, call.attempt, { routing::EndKind::Cancelled, Tokens {}, Tokens {} }, context_.now());
     table_.attemptEnded(call.request.key, AttemptEnd::Broken);
-    byAttempt_.erase(call.attempt);
+    callByAttempt_.erase(call.attempt);
     call.attempt = AttemptId {};
 }
 
--- a/src/node/Services.cpp
+++ b/src/node/Services.cpp
@@ -149,21 +149,21 @@
     for (const auto& effect : effects) {
         std::visit(logger, effect);
         if (const auto* accepted = std::get_if<config::Accepted>(&effect)) {
-            putInForce(accepted->service);
+            applyCurrentDocument(accepted->service);
         } else if (const auto* withdrawn = std::get_if<config::Withdrawn>(&effect)) {
-            putInForce(withdrawn->service);
+            applyCurrentDocument(withdrawn->service);
         } else if (std::holds_alternative<config::SnapshotPassed>(effect)) {
             snapshots_.onSnapshot(context_.now());
         } else if (std::holds_alternative<config::Restored>(effect)) {
             documents_.clear();
             for (const auto& name : fold_.services()) {
-                putInForce(name);
+                applyCurrentDocument(name);
             }
         }
     }
 }
 
-void Services::putInForce(const ServiceName& name)
+void Services::applyCurrentDocument(const ServiceName& name)
 {
     const config::ServiceRevision* revision = fold_.current(name);
     std::vector<routing::BackendEntry> entries;
