--- a/tests/node/GatewayFixture.h
+++ b/tests/node/GatewayFixture.h
@@ -8,20 +8,20 @@
 
 namespace swiftlift::node::testing {
 
-/** A gateway that is ready. */
+/** Tests of a gateway that is ready. */
 class GatewayTest : public ::testing::Test {
 protected:
     void SetUp() override
     {
-        world.settle();
+        world.becomeReady();
         ASSERT_TRUE(world.ready());
     }
 
-    [[nodiscard]] ProxyDispatch ordered(CallId call)
+    [[nodiscard]] ProxyDispatch dispatched(CallId call)
     {
-        const auto order = world.orderOf(call);
-        EXPECT_TRUE(order.has_value());
-        return order.value_or(ProxyDispatch {});
+        const auto dispatch = world.dispatchOf(call);
+        EXPECT_TRUE(dispatch.has_value());
+        return dispatch.value_or(ProxyDispatch {});
     }
 
     void expectRefused(CallId call, int status, const std::string& reason)
--- a/tests/node/GatewayQuarantineTest.cpp
+++ b/tests/node/GatewayQuarantineTest.cpp
@@ -13,102 +13,103 @@
     protected:
         const std::string path = "/order/poison";
 
-        /** Has the request run and its server crash, so often. */
-        void crash(int servers)
+        /** Sends the request this many times; each time its server crashes and restarts. */
+        void crashServers(int crashes)
         {
-            for (int number = 0; number < servers; ++number) {
-                const ProxyDispatch order = ordered(world.arrive(path));
-                world.lose(order);
+            for (int number = 0; number < crashes; ++number) {
+                const ProxyDispatch dispatch = dispatched(world.arrive(path));
+                world.loseConnection(dispatch);
                 world.run(seconds(2));
-                world.putServer(order.backend.value(), "app", "a", fleet::ServerState::Ready, ++lives_);
+                world.putServer(dispatch.backend.value(), "app", "a", fleet::ServerState::Ready, ++lastStartedAt_);
                 world.run(seconds(1));
             }
         }
 
-        std::uint64_t lives_ = 0;
+        std::uint64_t lastStartedAt_ = 0;
     };
 
-    // Guards against: a request that crashes whoever runs it goes on being sent.
-    TEST_F(GatewayQuarantineTest, RefusesARequestUnderWhichThreeServersEnded)
+    // Guards against a request that crashes each server which runs it and is still sent to further servers.
+    TEST_F(GatewayQuarantineTest, RefusesARequestThatCrashedThreeServers)
     {
-        crash(3);
+        crashServers(3);
         const CallId call = world.arrive(path);
         expectRefused(call, 429, "quarantined");
         EXPECT_EQ(world.replyOf(call)->outcome, Outcome::NotRun);
-        EXPECT_GT(world.replyOf(call)->retryAfter, minutes(50)) << "asking again soon is in vain";
-        EXPECT_TRUE(world.orderOf(world.arrive("/order/other")));
+        EXPECT_GT(world.replyOf(call)->retryAfter, minutes(50)) << "an earlier retry would be refused again";
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/order/other")));
         EXPECT_EQ(world.reports(), 3U);
     }
 
-    // Guards against: each VM lets the request end three servers of its own.
-    TEST_F(GatewayQuarantineTest, ReportsOfOtherRoutersCountAsWell)
+    // Guards against quarantine per VM, under which a request could crash three servers for each VM.
+    TEST_F(GatewayQuarantineTest, ReportsOfOtherRoutersCount)
     {
         world.reportLost({ path, "/order/innocent" }, "p-1", Incarnation { 5 });
         world.reportLost({ path }, "p-2", Incarnation { 6 });
-        EXPECT_TRUE(world.orderOf(world.arrive(path)));
+        EXPECT_TRUE(world.dispatchOf(world.arrive(path)));
         world.reportLost({ path }, "p-3", Incarnation { 7 });
         expectRefused(world.arrive(path), 429, "quarantined");
-        EXPECT_TRUE(world.orderOf(world.arrive("/order/innocent")));
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/order/innocent")));
     }
 
-    // Guards against: an outage of the log hides what ends servers meanwhile.
-    TEST_F(GatewayQuarantineTest, ReportsFromPeersCountAndAreWrittenForThem)
+    // Guards against crash reports that other routers don't get while the log is unreachable.
+    TEST_F(GatewayQuarantineTest, ReportsFromPeersCountAndAreWrittenToTheLog)
     {
         for (std::uint64_t number = 1; number <= 3; ++number) {
             const quarantine::Report report { { Incarnation { 5 }, number }, { GatewayWorld::fingerprintOf(path) },
                 quarantine::BackendInstance { BackendId("x" + std::to_string(number)), 0 } };
-            world.tell(PeerReceived { Incarnation { 5 }, PeerAddress { "127.0.0.1:7500" },
+            world.handle(PeerReceived { Incarnation { 5 }, PeerAddress { "127.0.0.1:7500" },
                 Records { StreamName { "crash-reports" }, Offset {}, { quarantine::encode(report) } } });
         }
         expectRefused(world.arrive(path), 429, "quarantined");
         world.run(seconds(20));
-        EXPECT_EQ(world.reports(), 3U) << "the router that told them has not written them";
+        EXPECT_EQ(world.reports(), 3U) << "the reporting router has not written its reports itself";
     }
 
-    // Guards against: a request that waits for money is sent though three servers have ended under it meanwhile.
-    TEST_F(GatewayQuarantineTest, RefusesWhatWaitedMeanwhile)
+    // Guards against a request that is sent although it crashed three servers elsewhere while it waited for tokens.
+    TEST_F(GatewayQuarantineTest, RefusesARequestQuarantinedWhileItWaits)
     {
         const std::string stream = "/stream/poison";
-        GatewayWorld poor(2'000);
-        poor.settle();
-        const CallId waiting = poor.arrive(stream, 1'200, 100);
-        ASSERT_FALSE(poor.orderOf(waiting) || poor.replyOf(waiting)) << "more than the stock: it is drawn for";
+        GatewayWorld smallBudget(2'000);
+        smallBudget.becomeReady();
+        const CallId waiting = smallBudget.arrive(stream, 1'200, 100);
+        ASSERT_FALSE(smallBudget.dispatchOf(waiting) || smallBudget.replyOf(waiting))
+            << "the request needs more than the preallocated tokens, so it waits for a draw";
         for (const char* server : { "m-1", "m-2", "m-3" }) {
-            poor.reportLost({ stream }, server, Incarnation { 5 });
+            smallBudget.reportLost({ stream }, server, Incarnation { 5 });
         }
-        poor.run(seconds(1));
-        ASSERT_TRUE(poor.replyOf(waiting));
-        EXPECT_EQ(poor.replyOf(waiting)->reason, "quarantined");
+        smallBudget.run(seconds(1));
+        ASSERT_TRUE(smallBudget.replyOf(waiting));
+        EXPECT_EQ(smallBudget.replyOf(waiting)->reason, "quarantined");
     }
 
-    // Guards against: reset connections get harmless requests refused.
-    TEST_F(GatewayQuarantineTest, LostConnectionsOfServersThatGoOnAnsweringCountNothing)
+    // Guards against harmless requests that are quarantined because of reset connections.
+    TEST_F(GatewayQuarantineTest, LostConnectionsOfServersThatStillAnswerDoNotCount)
     {
         for (int round = 0; round < 4; ++round) {
-            world.lose(ordered(world.arrive(path)));
+            world.loseConnection(dispatched(world.arrive(path)));
             world.run(milliseconds(40));
             for (const char* next : { "/order/a", "/order/b", "/order/c" }) {
-                world.end(ordered(world.arrive(next)), ProxyAttemptEnd::Completed);
+                world.end(dispatched(world.arrive(next)), ProxyAttemptEnd::Completed);
             }
             world.run(seconds(1));
         }
-        EXPECT_TRUE(world.orderOf(world.arrive(path)));
+        EXPECT_TRUE(world.dispatchOf(world.arrive(path)));
     }
 
-    // Guards against: one attempt of a caller goes on to further servers once the limit is reached.
-    TEST_F(GatewayQuarantineTest, OwnRepeatsEndAtTheLimit)
+    // Guards against retries of a single request at further servers after the limit is reached.
+    TEST_F(GatewayQuarantineTest, RetriesEndAtTheLimit)
     {
         const std::string repeatable = "/plain/poison";
         world.reportLost({ repeatable }, "x-1", Incarnation { 5 });
         world.reportLost({ repeatable }, "x-2", Incarnation { 5 });
         const CallId call = world.arrive(repeatable);
-        world.lose(ordered(call));
-        EXPECT_FALSE(world.orderOf(call));
+        world.loseConnection(dispatched(call));
+        EXPECT_FALSE(world.dispatchOf(call));
         expectRefused(call, 502, "backend_lost");
     }
 
-    // Guards against: a confined request holds money that others could spend.
-    TEST_F(GatewayQuarantineTest, ConfinedRequestCostsNothing)
+    // Guards against a quarantined request that reserves tokens which other requests could use.
+    TEST_F(GatewayQuarantineTest, QuarantinedRequestReservesNoTokens)
     {
         const std::string stream = "/stream/poison";
         for (const char* server : { "m-1", "m-2", "m-3" }) {
@@ -117,17 +118,17 @@
         for (int number = 0; number < 20; ++number) {
             expectRefused(world.arrive(stream, 200'000, 70), 429, "quarantined");
         }
-        EXPECT_TRUE(world.orderOf(world.arrive("/stream/other", 200'000, 70)));
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/stream/other", 200'000, 70)));
         EXPECT_EQ(world.billed(), Tokens {});
     }
 
-    // Guards against: what is asked for often is refused after an incident that had another cause.
-    TEST_F(GatewayQuarantineTest, RequestThatIsAnsweredIsNotConfined)
+    // Guards against the quarantine of a frequent request after crashes with another cause.
+    TEST_F(GatewayQuarantineTest, RequestThatIsAnsweredIsNotQuarantined)
     {
-        crash(2);
-        world.end(ordered(world.arrive(path)), ProxyAttemptEnd::Completed);
-        crash(2);
-        EXPECT_TRUE(world.orderOf(world.arrive(path)));
+        crashServers(2);
+        world.end(dispatched(world.arrive(path)), ProxyAttemptEnd::Completed);
+        crashServers(2);
+        EXPECT_TRUE(world.dispatchOf(world.arrive(path)));
     }
 
 } // namespace
--- a/tests/node/GatewayTest.cpp
+++ b/tests/node/GatewayTest.cpp
@@ -9,7 +9,7 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    TEST(GatewayStart, IsNotReadyAndRefusesHonestlyBeforeItKnowsAnything)
+    TEST(GatewayStart, RefusesAsNotRunBeforeItHasReadItsStreams)
     {
         GatewayWorld world;
         EXPECT_FALSE(world.ready());
@@ -20,12 +20,12 @@
         EXPECT_TRUE(world.replyOf(call)->retryAfter);
     }
 
-    TEST_F(GatewayTest, PassesARequestOnAndBillsPromptAndEvents)
+    TEST_F(GatewayTest, ProxiesARequestAndBillsPromptAndEvents)
     {
-        const ProxyDispatch order = ordered(world.arrive("/stream/x", 100, 70));
-        EXPECT_EQ(order.account, AccountId("club"));
-        world.progress(order, 1);
-        world.end(order, ProxyAttemptEnd::Completed, 200, 4);
+        const ProxyDispatch dispatch = dispatched(world.arrive("/stream/x", 100, 70));
+        EXPECT_EQ(dispatch.account, AccountId("club"));
+        world.progress(dispatch, 1);
+        world.end(dispatch, ProxyAttemptEnd::Completed, 200, 4);
         world.run(seconds(2));
         EXPECT_EQ(world.billed(), Tokens { 100 + 4 * 7 });
     }
@@ -36,33 +36,33 @@
         expectRefused(world.arrive("/plain/x", 0, 0, seconds(5), "other"), 401, "bad_key");
     }
 
-    // Symptom: callers wait for a draw that the log has admitted long ago, or for a witness that has not read it.
-    // Events: the ledger is read with pauses, so that a fleet makes fewer calls; money is short here, and drawn.
-    // Cause: what somebody waits for was read at the same pace as what others wrote for themselves.
-    TEST_F(GatewayTest, WhatIsWaitedForIsReadBackAtOnce)
+    // Guards against callers that wait for a draw already in the log, or for a witness that has not read it. The ledger
+    // is read with pauses, to limit the fleet's reads; a read whose records are awaited must not wait for the pause.
+    TEST_F(GatewayTest, AwaitedDrawIsReadWithoutPause)
     {
         world.run(seconds(5));
         const int before = world.expeditedReads();
         world.run(seconds(5));
-        EXPECT_EQ(world.expeditedReads(), before) << "nobody waits for anything";
+        EXPECT_EQ(world.expeditedReads(), before) << "no record is awaited";
         (void)world.arrive("/stream/x", 600'000, 100);
         world.run(milliseconds(40));
-        EXPECT_GT(world.expeditedReads(), before) << "more than the stock: it was drawn for";
+        EXPECT_GT(world.expeditedReads(), before)
+            << "the request needs more than the preallocated tokens, so a draw is awaited";
     }
 
-    TEST_F(GatewayTest, AWitnessReadsAGrantThatItIsAskedAboutAtOnce)
+    TEST_F(GatewayTest, WitnessReadsAGrantNamedByItsHolderWithoutPause)
     {
         const int before = world.expeditedReads();
         const Incarnation holder { 78 };
-        world.tell(PeerReceived { holder, PeerAddress { "127.0.0.1:7500" },
+        world.handle(PeerReceived { holder, PeerAddress { "127.0.0.1:7500" },
             RaiseCeilings { { { GrantId { holder, 1 }, Tokens { 1'000 }, false } } } });
         EXPECT_EQ(world.expeditedReads(), before + 1);
     }
 
-    // Symptom: callers of a new route are told 404 for half a minute by one VM, long after the others serve it.
-    // Events: a VM is flooded and reads no configuration; a version that adds a route is accepted.
-    // Cause: "there is no such route" was said by a configuration of which nobody knew whether it still held.
-    TEST_F(GatewayTest, UnknownIsSaidOnlyByAConfigurationThatIsSurelyTheNewest)
+    // Guards against a router that answers 404 for a new route for half a minute after the other routers serve it. An
+    // overloaded VM does not read the new configuration, and its old one may not be used to state that a route is
+    // unknown.
+    TEST_F(GatewayTest, UnknownRouteOrKeyIsReportedOnlyByTheNewestConfiguration)
     {
         world.logReachable = false;
         world.run(seconds(2));
@@ -71,82 +71,79 @@
         EXPECT_EQ(world.replyOf(path)->outcome, Outcome::NotRun);
         EXPECT_TRUE(world.replyOf(path)->retryAfter);
         expectRefused(world.arrive("/plain/x", 0, 0, seconds(5), "new"), 503, "config_unconfirmed");
-        EXPECT_TRUE(world.orderOf(world.arrive("/plain/x"))) << "what it knows is served";
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/plain/x"))) << "a known route is still served";
         world.logReachable = true;
         world.run(seconds(2));
         world.publish([](fleet::FleetConfig&) {});
         expectRefused(world.arrive("/new/x"), 404, "no_route");
     }
 
-    // Symptom: an order is placed twice.
-    // Events: the server's connection breaks before any answer.
-    // Cause: the request was sent to another server, though the first may have run it.
-    TEST_F(GatewayTest, WhatRunsOnceIsNeverSentAgainOnceItMayHaveRun)
+    // Guards against a non-idempotent request that runs twice: the connection breaks before any answer, and the request
+    // is sent to another server although the first may have run it.
+    TEST_F(GatewayTest, NonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
     {
         const CallId call = world.arrive("/order/x");
-        world.end(ordered(call), ProxyAttemptEnd::Broken, 0);
-        EXPECT_FALSE(world.orderOf(call));
+        world.end(dispatched(call), ProxyAttemptEnd::Broken, 0);
+        EXPECT_FALSE(world.dispatchOf(call));
         expectRefused(call, 502, "backend_lost");
         EXPECT_EQ(world.replyOf(call)->outcome, Outcome::Unknown);
     }
 
-    // Symptom: a caller is told to come back for what another server would have run at once.
-    // Events: the server says that it is full, or can't be reached.
-    // Cause: that was taken for a run.
-    TEST_F(GatewayTest, WhatWasNotStartedGoesToAnotherServer)
+    // Guards against a refusal although another server could run the request at once: a server that is full or
+    // unreachable has not run it.
+    TEST_F(GatewayTest, RequestThatWasNotStartedIsRetriedAtAnotherServer)
     {
         for (const ProxyAttemptEnd end :
             { ProxyAttemptEnd::Refused, ProxyAttemptEnd::Unreachable, ProxyAttemptEnd::Misdirected }) {
             const CallId call = world.arrive("/order/x");
-            const ProxyDispatch first = ordered(call);
+            const ProxyDispatch first = dispatched(call);
             world.end(first, end, 503);
-            EXPECT_NE(ordered(call).backend, first.backend);
-            world.end(ordered(call), ProxyAttemptEnd::Completed);
+            EXPECT_NE(dispatched(call).backend, first.backend);
+            world.end(dispatched(call), ProxyAttemptEnd::Completed);
         }
     }
 
-    TEST_F(GatewayTest, FailureOfARepeatableRequestIsPassedOnOnlyWhenNobodyElseMayRunIt)
+    TEST_F(GatewayTest, FailureOfAnIdempotentRequestIsForwardedOnlyAfterTheLastAttempt)
     {
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), ProxyAttemptEnd::Failed, 500);
-        EXPECT_FALSE(world.failurePassedOn(call));
-        world.end(ordered(call), ProxyAttemptEnd::Failed, 500);
-        EXPECT_TRUE(world.failurePassedOn(call));
+        world.end(dispatched(call), ProxyAttemptEnd::Failed, 500);
+        EXPECT_FALSE(world.failureForwarded(call));
+        world.end(dispatched(call), ProxyAttemptEnd::Failed, 500);
+        EXPECT_TRUE(world.failureForwarded(call));
         EXPECT_FALSE(world.replyOf(call));
     }
 
-    // Symptom: a caller is told that its request has not run, and it has.
-    // Events: a repeatable request breaks off at one server, and no other is left.
-    // Cause: the last refusal spoke for all attempts.
-    TEST_F(GatewayTest, NotRunIsNotSaidAfterARun)
+    // Guards against the outcome "not run" for a request that may have run: an idempotent request breaks off at one
+    // server, and the refusal for lack of another server ignores that attempt.
+    TEST_F(GatewayTest, OutcomeIsUnknownAfterAnAttemptThatMayHaveRun)
     {
         world.dropServer("p-2");
         world.dropServer("p-3");
         world.run(seconds(3));
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), ProxyAttemptEnd::Broken, 0);
+        world.end(dispatched(call), ProxyAttemptEnd::Broken, 0);
         ASSERT_TRUE(world.replyOf(call));
         EXPECT_EQ(world.replyOf(call)->status, 502);
         EXPECT_EQ(world.replyOf(call)->outcome, Outcome::Unknown);
     }
 
-    TEST_F(GatewayTest, StreamIsTakenUpElsewhereOnlyWhereItMayBe)
+    TEST_F(GatewayTest, OnlyAResumableStreamIsResumedAtAnotherServer)
     {
         const CallId resumable = world.arrive("/resumable/x", 10, 70);
-        const ProxyDispatch first = ordered(resumable);
+        const ProxyDispatch first = dispatched(resumable);
         world.progress(first, 3);
         world.end(first, ProxyAttemptEnd::Broken, 200, 3);
-        EXPECT_TRUE(ordered(resumable).resume);
-        EXPECT_NE(ordered(resumable).backend, first.backend);
+        EXPECT_TRUE(dispatched(resumable).resume);
+        EXPECT_NE(dispatched(resumable).backend, first.backend);
         const CallId once = world.arrive("/stream/x", 10, 70);
-        const ProxyDispatch only = ordered(once);
+        const ProxyDispatch only = dispatched(once);
         world.progress(only, 3);
         world.end(only, ProxyAttemptEnd::Broken, 200, 3);
-        EXPECT_FALSE(world.orderOf(once));
+        EXPECT_FALSE(world.dispatchOf(once));
         EXPECT_TRUE(world.replyOf(once));
     }
 
-    TEST_F(GatewayTest, TimeThatARequestWaitedToBeLookedAtCounts)
+    TEST_F(GatewayTest, DeadlineCountsFromArrivalNotFromHandling)
     {
         ProxyRequestArrived late;
         late.call = CallId { 900 };
@@ -156,64 +153,61 @@
         late.facts.key = "k";
         late.facts.deadline = milliseconds(500);
         late.at = Instant { seconds(1) };
-        world.tell(late);
-        EXPECT_FALSE(world.orderOf(late.call));
+        world.handle(late);
+        EXPECT_FALSE(world.dispatchOf(late.call));
         expectRefused(late.call, 503, "deadline_too_short");
     }
 
-    TEST_F(GatewayTest, RouteTimeEndsWithAFinalAnswer)
+    TEST_F(GatewayTest, RouteTimeLimitEndsARequestWithAFinalAnswer)
     {
         const CallId call = world.arrive("/plain/x", 0, 0, seconds(60));
-        const ProxyDispatch order = ordered(call);
+        const ProxyDispatch dispatch = dispatched(call);
         world.run(seconds(11));
-        EXPECT_TRUE(world.cancelled(order));
+        EXPECT_TRUE(world.cancelled(dispatch));
         expectRefused(call, 504, "deadline_passed");
     }
 
-    // Symptom: a fleet goes back to routes and keys that were withdrawn.
-    // Events: an older configuration is read again, or a record that nobody can read.
-    // Cause: whatever came last was taken.
-    TEST_F(GatewayTest, ConfigurationNeverGoesBackAndABrokenOneChangesNothing)
+    // Guards against a return to withdrawn routes and keys when an older configuration or an unreadable record is read
+    // after the newest one.
+    TEST_F(GatewayTest, OlderOrUnreadableConfigurationIsIgnored)
     {
         world.publish([](fleet::FleetConfig& config) { config.routes.erase(config.routes.begin()); });
         expectRefused(world.arrive("/plain/x"), 404, "no_route");
-        world.tell(KeyedRecords { StreamName("fleet-config"), { { Offset { 1 }, "config", "version 3" } }, true });
+        world.handle(KeyedRecords { StreamName("fleet-config"), { { Offset { 1 }, "config", "version 3" } }, true });
         expectRefused(world.arrive("/plain/x"), 404, "no_route");
-        world.tell(KeyedRecords { StreamName("fleet-config"), { { Offset { 99 }, "config", "{garbled" } }, false });
-        EXPECT_TRUE(world.orderOf(world.arrive("/order/x")));
+        world.handle(KeyedRecords { StreamName("fleet-config"), { { Offset { 99 }, "config", "{garbled" } }, false });
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/order/x")));
         ASSERT_EQ(world.lines("unreadable").size(), 1U);
     }
 
-    TEST_F(GatewayTest, ServerThatLeavesGetsNothingNew)
+    TEST_F(GatewayTest, LeavingServerGetsNoNewRequests)
     {
         world.putServer("p-1", "app", "a", fleet::ServerState::Leaving);
         world.dropServer("p-2");
         world.run(milliseconds(40));
         for (int request = 0; request < 10; ++request) {
             const CallId call = world.arrive("/plain/x");
-            EXPECT_EQ(ordered(call).backend, BackendId("p-3"));
-            world.end(ordered(call), ProxyAttemptEnd::Completed);
+            EXPECT_EQ(dispatched(call).backend, BackendId("p-3"));
+            world.end(dispatched(call), ProxyAttemptEnd::Completed);
         }
     }
 
-    // Symptom: "no backend server" right after the log is back.
-    // Events: an outage of the log lets the entries of all servers lapse; they register again within 2 s.
-    // Cause: a lapsed entry was taken for a server that left.
-    TEST_F(GatewayTest, ServersWhoseEntriesLapsedTogetherAreKeptForAMoment)
+    // Guards against `no_backend` refusals right after an outage of the log. The entries of all servers expire during
+    // the outage, and the servers register again within 2 s; an expired entry does not mean that its server has left.
+    TEST_F(GatewayTest, ServersWhoseEntriesExpiredTogetherAreKeptForAGracePeriod)
     {
         for (const char* id : { "p-1", "p-2", "p-3" }) {
             world.dropServer(id);
         }
         world.run(seconds(1));
-        EXPECT_TRUE(world.orderOf(world.arrive("/plain/x")));
+        EXPECT_TRUE(world.dispatchOf(world.arrive("/plain/x")));
         world.run(seconds(1));
         expectRefused(world.arrive("/plain/x"), 503, "no_backend");
     }
 
-    // Symptom: a server that is back is left alone, for the sake of what its former life said.
-    // Events: a server says that it is leaving, crashes, and starts again under its id; a late record of the former
-    // life follows. Cause: an id was taken for one life.
-    TEST_F(GatewayTest, ServerThatStartsAgainUnderItsIdIsANewOne)
+    // Guards against a restarted server that gets no requests. A server registers as leaving, crashes and restarts
+    // under its id, and a late record of the previous instance follows; that record must not apply to the new instance.
+    TEST_F(GatewayTest, RestartedServerIsANewInstance)
     {
         world.putServer("p-1", "app", "a", fleet::ServerState::Leaving, 1000);
         world.dropServer("p-2");
@@ -223,14 +217,13 @@
         world.putServer("p-1", "app", "a", fleet::ServerState::Ready, 2000);
         world.putServer("p-1", "app", "a", fleet::ServerState::Leaving, 1000);
         const CallId call = world.arrive("/plain/x");
-        EXPECT_EQ(ordered(call).backend, BackendId("p-1"));
+        EXPECT_EQ(dispatched(call).backend, BackendId("p-1"));
         EXPECT_FALSE(world.lines("backend").empty());
     }
 
-    // Symptom: callers wait for servers that have started again meanwhile.
-    // Events: a server loses its power under two requests, and starts again; one of them may run only once.
-    // Cause: a server without power closes no connection, so nothing ended the attempts.
-    TEST_F(GatewayTest, WhatRanOnAServersFormerLifeIsLost)
+    // Guards against callers that wait for a server which has restarted meanwhile. A server that loses power closes no
+    // connection, so only its restart shows that its two attempts have ended; one of them must not be retried.
+    TEST_F(GatewayTest, RestartOfAServerEndsTheAttemptsOfItsPreviousInstance)
     {
         world.putServer("p-1", "app", "a", fleet::ServerState::Ready, 1000);
         world.dropServer("p-2");
@@ -238,59 +231,58 @@
         world.run(milliseconds(100));
         const CallId repeatable = world.arrive("/plain/x");
         const CallId once = world.arrive("/order/x");
-        const ProxyDispatch order = ordered(once);
+        const ProxyDispatch dispatch = dispatched(once);
         world.run(milliseconds(300));
         world.putServer("p-9", "app", "a", fleet::ServerState::Ready, 1000);
         world.run(milliseconds(300));
         world.putServer("p-1", "app", "a", fleet::ServerState::Ready, 1000);
         const CallId late = world.arrive("/order/x");
-        const BackendId lateAt = ordered(late).backend;
+        const BackendId lateAt = dispatched(late).backend;
         world.putServer("p-1", "app", "a", fleet::ServerState::Ready, 2000);
         expectRefused(once, 502, "backend_lost");
         EXPECT_EQ(world.replyOf(once)->outcome, Outcome::Unknown);
-        EXPECT_TRUE(world.cancelled(order));
-        EXPECT_EQ(ordered(repeatable).backend, BackendId("p-9"));
-        // Sent after the last sign of the former life was read: it may have reached the new one.
-        EXPECT_EQ(ordered(late).backend, lateAt);
+        EXPECT_TRUE(world.cancelled(dispatch));
+        EXPECT_EQ(dispatched(repeatable).backend, BackendId("p-9"));
+        // Sent after the previous instance's last record was read, so it may have reached the new instance.
+        EXPECT_EQ(dispatched(late).backend, lateAt);
     }
 
-    // Symptom: no server is known, or the log fills up with one complaint.
-    // Events: another writer leaves records that can't be read, under an id of its own and under that of a server.
-    // Cause: what can't be read was taken for a word on servers.
-    TEST_F(GatewayTest, RecordsOfAnotherWriterTakeNoServerAway)
+    // Guards against servers removed by unreadable records, and against a log filled with the same message. Another
+    // writer stores unreadable records under a key of its own and under that of a server.
+    TEST_F(GatewayTest, UnreadableRecordsRemoveNoServer)
     {
         for (int time = 0; time < 100; ++time) {
-            world.putForeign("stranger");
-            world.putForeign("p-1");
+            world.putUnreadable("stranger");
+            world.putUnreadable("p-1");
         }
         world.dropServer("p-2");
         world.dropServer("p-3");
         const CallId call = world.arrive("/plain/x");
-        EXPECT_EQ(ordered(call).backend, BackendId("p-1"));
+        EXPECT_EQ(dispatched(call).backend, BackendId("p-1"));
         EXPECT_EQ(world.lines("unreadable").size(), 2U);
     }
 
-    TEST_F(GatewayTest, BudgetEndsWithItsOwnRefusalAndARaiseOpensIt)
+    TEST_F(GatewayTest, ExhaustedBudgetIsRefusedUntilItIsRaised)
     {
         expectRefused(world.arrive("/stream/x", 10, 2'000'000), 402, "budget_exhausted");
         world.publish([](fleet::FleetConfig& config) { config.accounts[0].budget = Tokens { 5'000'000 }; });
         world.run(seconds(3));
         const CallId call = world.arrive("/stream/x", 10, 2'000'000);
         world.run(milliseconds(300));
-        EXPECT_TRUE(world.orderOf(call));
+        EXPECT_TRUE(world.dispatchOf(call));
     }
 
-    // Symptom: callers who want an answer within 200 ms are told after 600 ms that there is no money here.
-    // Events: an outage of the log; the router asks one peer after the other for a loan, and none answers.
-    // Cause: a request waited equally long for money, whatever its route's objective.
-    TEST_F(GatewayTest, MoneyIsNotWaitedForBeyondTheObjective)
+    // Guards against a refusal for missing tokens after 600 ms on a route with an objective of 200 ms. During an outage
+    // of the log, the router requests a loan from one peer after the other, and none answers; the wait has to depend on
+    // the route's objective.
+    TEST_F(GatewayTest, WaitForTokensEndsWithTheRoutesObjective)
     {
         world.logReachable = false;
         for (std::uint64_t peer = 1; peer <= 12; ++peer) {
             Heartbeat heard;
             heard.domain = FailureDomain("a");
             heard.region = Region("r");
-            world.tell(PeerReceived {
+            world.handle(PeerReceived {
                 Incarnation { 100 + peer }, PeerAddress { "127.0.0.1:" + std::to_string(7500 + peer) }, heard });
         }
         world.run(seconds(2));
@@ -302,10 +294,9 @@
         EXPECT_TRUE(world.replyOf(call)->retryAfter);
     }
 
-    // Symptom: a request was refused for money, and its id leads to no account and to no figure.
-    // Events: the budget is too small for the request.
-    // Cause: the line of a refusal before any backend server was chosen held nothing but the reason.
-    TEST_F(GatewayTest, LineOfARefusalForMoneyNamesTheAccountAndWhatWasKnownOfItsBudget)
+    // Guards against a log line that gives only the reason of a refusal for missing tokens: the request's account and
+    // the figures of its budget are needed to explain the refusal.
+    TEST_F(GatewayTest, RefusalForMissingTokensIsLoggedWithAccountAndBudget)
     {
         expectRefused(world.arrive("/stream/x", 10, 2'000'000), 402, "budget_exhausted");
         const auto lines = world.lines("refuse");
@@ -320,17 +311,16 @@
         }
     }
 
-    // Symptom: a live router refuses for money while the budget is nearly whole.
-    // Events: the log goes out of reach before there was any demand.
-    // Cause: nothing had been drawn.
-    TEST_F(GatewayTest, ServesThroughAnOutageThatComesBeforeAnyDemand)
+    // Guards against refusals for missing tokens while the budget is nearly unused: the log becomes unreachable before
+    // the router has drawn any tokens on demand, so only preallocated tokens can serve the requests.
+    TEST_F(GatewayTest, ServesDuringAnOutageThatBeginsBeforeAnyDemand)
     {
         world.logReachable = false;
         world.run(seconds(5));
         for (int request = 0; request < 20; ++request) {
             const CallId call = world.arrive("/stream/x", 10'000, 70);
-            ASSERT_TRUE(world.orderOf(call)) << request;
-            world.end(*world.orderOf(call), ProxyAttemptEnd::Completed, 200, 10);
+            ASSERT_TRUE(world.dispatchOf(call)) << request;
+            world.end(*world.dispatchOf(call), ProxyAttemptEnd::Completed, 200, 10);
         }
         EXPECT_TRUE(world.ready());
         world.logReachable = true;
@@ -338,23 +328,22 @@
         EXPECT_EQ(world.billed(), Tokens { 20 * (10'000 + 70) });
     }
 
-    // Symptom: an account gets more than it has paid for, by a few answers' tokens.
-    // Events: a VM is killed with answers on their way whose bills nobody else knows; its witness lives on; the account
-    // then uses its budget up.
-    // Cause: the witness closed the dead router's grants after 10 s, which frees what was not billed. That is safe only
-    // where no caller is given anything before its bill is copied or landed. Here events go out as they come.
-    TEST_F(GatewayTest, WitnessOfADeadRouterNeverFreesWhatItMayHaveDelivered)
+    // Guards against an account that receives a few answers more than it paid for. A VM is killed while answers are in
+    // progress whose bills no other router has; after 10 s its witness closes its grants, which frees the unbilled
+    // tokens to be spent again. That is safe only if callers receive nothing before its bill is copied or in the log,
+    // but a gateway forwards events at once. So the witness may only free what is above the grant's ceiling.
+    TEST_F(GatewayTest, WitnessNeverFreesTokensThatADeadRouterMayHaveDelivered)
     {
         const Incarnation holder { 88 };
         const GrantId grant { holder, 1 };
         const PeerReceived alive { holder, PeerAddress { "127.0.0.2:7400" },
             Heartbeat { FailureDomain { "a" }, Region { "r" }, false, true, {} }, 0 };
-        world.tell(alive);
+        world.handle(alive);
         const BudgetRef budget { AccountId("club"), BudgetId("prepaid") };
         world.writeLedger(holder, ledger::Draw { grant, budget, Tokens { 10'000 }, Tokens { 1 }, Incarnation { 77 } });
         world.run(seconds(1));
         const PeerReceived raise { holder, alive.address, RaiseCeilings { { { grant, Tokens { 6'000 } } } }, 0 };
-        world.tell(raise);
+        world.handle(raise);
         world.run(seconds(30));
         std::set<std::string> states;
         for (const LogLine& line : world.lines("seal")) {
@@ -364,39 +353,38 @@
                 }
             }
         }
-        EXPECT_EQ(states, std::set<std::string> { "sealed" }) << "what is above its ceiling is free, no more";
+        EXPECT_EQ(states, std::set<std::string> { "sealed" }) << "only tokens above the ceiling may be freed";
     }
 
-    // Symptom: callers are refused though the process that stops could still serve them.
-    // Events: a planned stop; the platform's entry goes on sending callers for two seconds.
-    // Cause: the router refused from the signal on.
-    TEST_F(GatewayTest, PlannedStopGoesOnServingUntilTheEntryHasNoticed)
+    // Guards against needless refusals at a planned stop: the platform's entry continues to send callers for two
+    // seconds, and the stopping router can still serve them.
+    TEST_F(GatewayTest, StoppingRouterAcceptsRequestsUntilTheEntryHasNoticed)
     {
-        world.tell(StopRequested {});
+        world.handle(StopRequested {});
         EXPECT_FALSE(world.ready());
         const CallId call = world.arrive("/plain/x");
-        world.end(ordered(call), ProxyAttemptEnd::Completed);
+        world.end(dispatched(call), ProxyAttemptEnd::Completed);
         world.run(seconds(3));
         expectRefused(world.arrive("/plain/x"), 503, "stopping");
         world.run(seconds(2));
         EXPECT_TRUE(world.stopReady());
     }
 
-    // Symptom: 483,000 of an account's 7.6 million tokens are out of reach for the rest of the day after a planned
-    // stop, and 430 of its requests are refused though they are paid for. Events: a router is to stop; its last stream
-    // ends 1.3 s before its time is over; its grants are not closed by then. Cause: it began to give back what it held
-    // only once nothing was in progress, and a grant takes two passes of the log to be closed.
-    TEST_F(GatewayTest, PlannedStopGivesMoneyBackWhileTheLastStreamsRun)
+    // Guards against tokens that stay held after a planned stop: 483,000 of an account's 7.6 million tokens were
+    // unavailable for the rest of the day, and 430 paid requests were refused. The router had returned tokens only once
+    // no request was in progress. Its last stream ended 1.3 s before the end of its stop time, and closing a grant
+    // takes two passes of the log.
+    TEST_F(GatewayTest, StoppingRouterReturnsTokensWhileItsLastStreamsRun)
     {
         const CallId call = world.arrive("/stream/x", 1'000, 100);
-        world.progress(ordered(call), 1);
+        world.progress(dispatched(call), 1);
         const Tokens cost { 1'100 };
-        ASSERT_GT(world.budget().held, cost) << "more is held than the one request needs";
-        world.tell(StopRequested {});
+        ASSERT_GT(world.budget().held, cost) << "more tokens are held than the request needs";
+        world.handle(StopRequested {});
         world.run(seconds(4));
-        EXPECT_FALSE(world.stopReady()) << "the stream is still there";
+        EXPECT_FALSE(world.stopReady()) << "the stream is still in progress";
         EXPECT_EQ(world.budget().held, cost);
-        world.end(ordered(call), ProxyAttemptEnd::Completed);
+        world.end(dispatched(call), ProxyAttemptEnd::Completed);
         world.run(seconds(1));
         EXPECT_TRUE(world.stopReady());
         EXPECT_EQ(world.budget().held, world.budget().billed);
--- a/tests/node/GatewayWorld.cpp
+++ b/tests/node/GatewayWorld.cpp
@@ -19,19 +19,19 @@
 
     fleet::Route route(const std::string& name, fleet::AnswerKind answer)
     {
-        fleet::Route made;
-        made.name = RouteName(name);
-        made.host = "desk";
-        made.pathPrefix = "/" + name + "/";
-        made.answer = answer;
-        made.idempotent = name == "plain" || name == "resumable";
-        made.resumable = name == "resumable";
-        made.sharesPrefixes = answer == fleet::AnswerKind::Events;
-        made.timeLimit = std::chrono::seconds(10);
-        made.objective = std::chrono::milliseconds(200);
-        made.maxServers = 2;
-        made.targets = { { ServiceName(answer == fleet::AnswerKind::Events ? "model" : "app"), 1 } };
-        return made;
+        fleet::Route result;
+        result.name = RouteName(name);
+        result.host = "desk";
+        result.pathPrefix = "/" + name + "/";
+        result.answer = answer;
+        result.idempotent = name == "plain" || name == "resumable";
+        result.resumable = name == "resumable";
+        result.sharesPrefixes = answer == fleet::AnswerKind::Events;
+        result.timeLimit = std::chrono::seconds(10);
+        result.objective = std::chrono::milliseconds(200);
+        result.maxServers = 2;
+        result.targets = { { ServiceName(answer == fleet::AnswerKind::Events ? "model" : "app"), 1 } };
+        return result;
     }
 
 } // namespace
@@ -83,11 +83,11 @@
     execute(actions);
 }
 
-void GatewayWorld::settle()
+void GatewayWorld::becomeReady()
 {
     config_.version = 3;
     putConfig(config_);
-    tell(KeyedRecords { serverName, {}, true });
+    handle(KeyedRecords { serverName, {}, true });
     for (const char* id : { "m-1", "m-2", "m-3" }) {
         putServer(id, "model", "a");
     }
@@ -102,7 +102,7 @@
     config_ = std::move(config);
     const std::string name = "version " + std::to_string(config_.version);
     codec_->configs[name] = config_;
-    tell(KeyedRecords { configName, { { Offset { ++keyedOffset_ }, "config", name } }, false });
+    handle(KeyedRecords { configName, { { Offset { ++keyedOffset_ }, "config", name } }, false });
 }
 
 void GatewayWorld::putServer(const std::string& id, const std::string& service, const std::string& domain,
@@ -112,17 +112,17 @@
         = id + (state == fleet::ServerState::Ready ? "" : " leaving") + " of " + std::to_string(startedAt);
     codec_->servers[name] = { BackendId(id), startedAt, BackendAddress("127.0.0.1:1"), ServiceName(service),
         FailureDomain(domain), 8, state };
-    tell(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, id, name } }, false });
+    handle(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, id, name } }, false });
 }
 
-void GatewayWorld::putForeign(const std::string& key)
+void GatewayWorld::putUnreadable(const std::string& key)
 {
-    tell(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, key, "\xff" } }, false });
+    handle(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, key, "\xff" } }, false });
 }
 
 void GatewayWorld::dropServer(const std::string& id)
 {
-    tell(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, id, std::nullopt } }, false });
+    handle(KeyedRecords { serverName, { { Offset { ++keyedOffset_ }, id, std::nullopt } }, false });
 }
 
 void GatewayWorld::writeLedger(Incarnation author, ledger::Entry entry)
@@ -132,7 +132,7 @@
     ledger_.push_back(ledger::encode(batch));
 }
 
-void GatewayWorld::tell(const Event& event)
+void GatewayWorld::handle(const Event& event)
 {
     Actions actions;
     core_->handle(event, now_, actions);
@@ -145,7 +145,7 @@
     while (now_ < end) {
         now_ += tickPeriod;
         readLog();
-        tell(Tick {});
+        handle(Tick {});
     }
 }
 
@@ -154,24 +154,24 @@
     while (!pending_.empty()) {
         const Event event = pending_.front();
         pending_.pop_front();
-        tell(event);
+        handle(event);
     }
     if (!following_) {
         return;
     }
     if (!logReachable) {
-        tell(LogUnreachable { ledgerName, "read" });
+        handle(LogUnreachable { ledgerName, "read" });
         return;
     }
-    LogRecords records { ledgerName, Offset { read_ }, {}, Offset { ledger_.size() } };
-    for (; read_ < ledger_.size(); ++read_) {
-        records.records.push_back(ledger_[read_]);
+    LogRecords records { ledgerName, Offset { nextRead_ }, {}, Offset { ledger_.size() } };
+    for (; nextRead_ < ledger_.size(); ++nextRead_) {
+        records.records.push_back(ledger_[nextRead_]);
     }
-    tell(records);
-    // A read of the configuration that waits for news comes back empty after a while.
+    handle(records);
+    // A long poll of the configuration returns without records after its wait time.
     if (now_ - configReadAt_ >= pollWait) {
         configReadAt_ = now_;
-        tell(KeyedRecords { configName, {}, false });
+        handle(KeyedRecords { configName, {}, false });
     }
 }
 
@@ -190,21 +190,21 @@
     arrived.facts.prefix = { { 5, Tokens { promptTokens } } };
     arrived.facts.content = fingerprintOf(path).content;
     arrived.at = now_;
-    tell(arrived);
+    handle(arrived);
     return arrived.call;
 }
 
-void GatewayWorld::end(const ProxyDispatch& order, ProxyAttemptEnd how, int status, std::uint64_t events)
+void GatewayWorld::end(const ProxyDispatch& dispatch, ProxyAttemptEnd attemptEnd, int status, std::uint64_t events)
 {
-    orders_.erase(order.call);
-    given_[order.call] = std::max(given_[order.call], events);
-    tell(ProxyAttemptEnded { order.attempt, how, status, events, "played" });
+    dispatches_.erase(dispatch.call);
+    forwardedEvents_[dispatch.call] = std::max(forwardedEvents_[dispatch.call], events);
+    handle(ProxyAttemptEnded { dispatch.attempt, attemptEnd, status, events, "ended by the test" });
 }
 
-void GatewayWorld::lose(const ProxyDispatch& order)
+void GatewayWorld::loseConnection(const ProxyDispatch& dispatch)
 {
-    orders_.erase(order.call);
-    tell(ProxyAttemptEnded { order.attempt, ProxyAttemptEnd::Broken, 0, 0, "connection lost", true });
+    dispatches_.erase(dispatch.call);
+    handle(ProxyAttemptEnded { dispatch.attempt, ProxyAttemptEnd::Broken, 0, 0, "connection lost", true });
 }
 
 quarantine::Fingerprint GatewayWorld::fingerprintOf(const std::string& path)
@@ -218,20 +218,20 @@
     for (const std::string& path : paths) {
         report.requests.push_back(fingerprintOf(path));
     }
-    tell(KeyedRecords { reportName,
+    handle(KeyedRecords { reportName,
         { { Offset { ++keyedOffset_ }, quarantine::keyOf(report.id), quarantine::encode(report) } }, false });
 }
 
-void GatewayWorld::progress(const ProxyDispatch& order, std::uint64_t events)
+void GatewayWorld::progress(const ProxyDispatch& dispatch, std::uint64_t events)
 {
-    given_[order.call] = std::max(given_[order.call], events);
-    tell(ProxyAttemptProgress { order.attempt, events });
+    forwardedEvents_[dispatch.call] = std::max(forwardedEvents_[dispatch.call], events);
+    handle(ProxyAttemptProgress { dispatch.attempt, events });
 }
 
-std::optional<ProxyDispatch> GatewayWorld::orderOf(CallId call) const
+std::optional<ProxyDispatch> GatewayWorld::dispatchOf(CallId call) const
 {
-    const auto found = orders_.find(call);
-    return found == orders_.end() ? std::nullopt : std::optional(found->second);
+    const auto found = dispatches_.find(call);
+    return found == dispatches_.end() ? std::nullopt : std::optional(found->second);
 }
 
 std::optional<Reply> GatewayWorld::replyOf(CallId call) const
@@ -269,16 +269,16 @@
 void GatewayWorld::execute(Actions& actions)
 {
     for (const Action& action : actions) {
-        if (const auto* order = std::get_if<ProxyDispatch>(&action)) {
-            orders_[order->call] = *order;
-            given_.try_emplace(order->call, 0);
+        if (const auto* dispatch = std::get_if<ProxyDispatch>(&action)) {
+            dispatches_[dispatch->call] = *dispatch;
+            forwardedEvents_.try_emplace(dispatch->call, 0);
         } else if (const auto* reply = std::get_if<Reply>(&action)) {
-            EXPECT_FALSE(replies_.contains(reply->call)) << "a caller gets one final answer";
+            EXPECT_FALSE(replies_.contains(reply->call)) << "second final answer to the same caller";
             replies_[reply->call] = *reply;
-            reportCut(reply->call);
+            reportEventCount(reply->call);
         } else if (const auto* failure = std::get_if<ProxyFailureReply>(&action)) {
             failures_.insert(failure->call);
-            reportCut(failure->call);
+            reportEventCount(failure->call);
         } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
             cancelled_.insert(cancel->attempt);
         } else if (const auto* readiness = std::get_if<AnnounceReadiness>(&action)) {
@@ -287,8 +287,8 @@
             on(*append);
         } else if (const auto* follow = std::get_if<Follow>(&action)) {
             on(*follow);
-        } else if (const auto* soon = std::get_if<ExpediteRead>(&action)) {
-            hastenedReads_ += soon->stream == ledgerName ? 1 : 0;
+        } else if (const auto* expedited = std::get_if<ExpediteRead>(&action)) {
+            expeditedReads_ += expedited->stream == ledgerName ? 1 : 0;
         } else if (const auto* line = std::get_if<LogLine>(&action)) {
             lines_.push_back(*line);
         }
@@ -296,10 +296,10 @@
     }
 }
 
-void GatewayWorld::reportCut(CallId call)
+void GatewayWorld::reportEventCount(CallId call)
 {
-    if (const auto given = given_.find(call); reportsCuts && given != given_.end()) {
-        pending_.push_back(ProxyRequestAbandoned { call, given->second });
+    if (const auto forwarded = forwardedEvents_.find(call); reportsEventCounts && forwarded != forwardedEvents_.end()) {
+        pending_.push_back(ProxyRequestAbandoned { call, forwarded->second });
     }
 }
 
@@ -339,7 +339,7 @@
 {
     if (follow.stream == ledgerName) {
         following_ = true;
-        read_ = follow.from.value();
+        nextRead_ = follow.from.value();
     } else if (follow.kind == StreamKind::KeyedOnce || follow.stream == reportName) {
         pending_.push_back(KeyedRecords { follow.stream, {}, true });
     }
--- a/tests/node/GatewayWorld.h
+++ b/tests/node/GatewayWorld.h
@@ -16,7 +16,7 @@
 
 namespace swiftlift::node::testing {
 
-/** Reads configurations and backend servers that a test has put down under a name. */
+/** Decodes a record's text as the name of a configuration or backend server that the test has stored. */
 class NamedCodec final : public fleet::FleetCodec {
 public:
     std::map<std::string, fleet::FleetConfig> configs;
@@ -28,42 +28,47 @@
 };
 
 /**
- * One core that passes requests on, with a log that answers at once or not at all, under a clock that the test moves.
+ * One core that proxies requests, with a simulated log, transport and clock. The log answers at once or not at all.
  *
- * Routes of host `desk`: `/plain/` (idempotent, two servers), `/order/` (runs once), `/stream/` (events, runs once) and
- * `/resumable/` (events, may be taken up elsewhere). Account `club` has key `k`.
+ * Routes of host `desk`: `/plain/` (idempotent, at most two servers), `/order/` (not idempotent), `/stream/` (events,
+ * not idempotent) and `/resumable/` (events, may be resumed at another server). Account `club` has key `k`.
  */
 class GatewayWorld {
 public:
     explicit GatewayWorld(std::int64_t budget = 1'000'000);
 
-    /** Lets the core read configuration, servers and ledger until it says that it is ready. */
-    void settle();
+    /** Publishes a configuration and six servers, and lets the core read them and the ledger until it is ready. */
+    void becomeReady();
+    /** Advances the clock by this time, with ticks and reads of the log. */
     void run(Duration time);
 
+    /** A request arrives. @param answerTokens Maximum tokens of the answer. */
     CallId arrive(const std::string& path, std::int64_t promptTokens = 0, std::int64_t answerTokens = 0,
         Duration deadline = std::chrono::seconds(5), const std::string& key = "k");
-    void end(const ProxyDispatch& order, ProxyAttemptEnd how, int status = 200, std::uint64_t events = 0);
-    /** The connection of the request's backend server ends, as when the server crashes. */
-    void lose(const ProxyDispatch& order);
-    void progress(const ProxyDispatch& order, std::uint64_t events);
-    void tell(const Event& event);
+    /** Ends the attempt. @param events Events forwarded to the caller in total. */
+    void end(const ProxyDispatch& dispatch, ProxyAttemptEnd attemptEnd, int status = 200, std::uint64_t events = 0);
+    /** Ends the attempt by a lost connection, as when the backend server crashes. */
+    void loseConnection(const ProxyDispatch& dispatch);
+    /** Reports the number of events forwarded to the caller. */
+    void progress(const ProxyDispatch& dispatch, std::uint64_t events);
+    /** Gives the event to the core and executes the resulting actions. */
+    void handle(const Event& event);
 
-    /** @return What was ordered for the call and not ended since; nothing when nothing is. */
-    [[nodiscard]] std::optional<ProxyDispatch> orderOf(CallId call) const;
+    /** @return The dispatch of the call's running attempt; nullopt: none is running. */
+    [[nodiscard]] std::optional<ProxyDispatch> dispatchOf(CallId call) const;
     [[nodiscard]] std::optional<Reply> replyOf(CallId call) const;
-    [[nodiscard]] bool failurePassedOn(CallId call) const { return failures_.contains(call); }
-    [[nodiscard]] bool cancelled(const ProxyDispatch& order) const { return cancelled_.contains(order.attempt); }
+    [[nodiscard]] bool failureForwarded(CallId call) const { return failures_.contains(call); }
+    [[nodiscard]] bool cancelled(const ProxyDispatch& dispatch) const { return cancelled_.contains(dispatch.attempt); }
     [[nodiscard]] bool ready() const noexcept { return ready_; }
     [[nodiscard]] bool stopReady() const noexcept { return stopReady_; }
-    /** @return How often the ledger was to be read without a pause. */
-    [[nodiscard]] int expeditedReads() const noexcept { return hastenedReads_; }
-    /** @return The account's budget as the log has it. */
+    /** @return How many reads of the ledger were expedited. */
+    [[nodiscard]] int expeditedReads() const noexcept { return expeditedReads_; }
+    /** @return The account's budget by the records in the log. */
     [[nodiscard]] ledger::BudgetView budget() const;
     [[nodiscard]] Tokens billed() const { return budget().billed; }
     [[nodiscard]] std::vector<LogLine> lines(const std::string& kind) const;
 
-    /** Publishes a configuration like the present one, changed. */
+    /** Publishes the current configuration with a change, under the next version. */
     template <typename Change> void publish(const Change& change)
     {
         fleet::FleetConfig next = config_;
@@ -73,22 +78,22 @@
     }
     void putServer(const std::string& id, const std::string& service, const std::string& domain,
         fleet::ServerState state = fleet::ServerState::Ready, std::uint64_t startedAt = 0);
-    /** Another writer leaves something under the key that no server would write. */
-    void putForeign(const std::string& key);
+    /** Another writer stores a record under this key that can't be read as a backend server. */
+    void putUnreadable(const std::string& key);
     void dropServer(const std::string& id);
-    /** Another router has reported requests for these paths as lost with a backend server. */
+    /** Another router reports that requests for these paths were lost when a backend server crashed. */
     void reportLost(const std::vector<std::string>& paths, const std::string& server, Incarnation reporter);
-    /** @return Reports in the log. */
+    /** @return Number of crash reports in the log. */
     [[nodiscard]] std::size_t reports() const noexcept { return reports_.size(); }
-    /** @return What a request for this path is recognised by. */
+    /** @return Fingerprint of a request for this path. */
     [[nodiscard]] static quarantine::Fingerprint fingerprintOf(const std::string& path);
-    /** Another router writes to the ledger. */
+    /** Another router appends an entry to the ledger. */
     void writeLedger(Incarnation author, ledger::Entry entry);
 
     /** False: reads and appends fail. */
     bool logReachable = true;
-    /** True: the transport says how much of an answer its caller was given when the core has ended it. */
-    bool reportsCuts = true;
+    /** True: once the core has ended a call, the transport reports how many events the caller received. */
+    bool reportsEventCounts = true;
 
 private:
     void putConfig(fleet::FleetConfig config);
@@ -103,26 +108,26 @@
     std::unique_ptr<Core> core_;
     Instant now_ { std::chrono::seconds(100) };
     std::vector<std::string> ledger_;
-    std::uint64_t read_ = 0;
+    std::uint64_t nextRead_ = 0;
     bool following_ = false;
     std::deque<Event> pending_;
     std::uint64_t keyedOffset_ = 0;
     Instant configReadAt_ {};
     std::uint64_t lastWritten_ = 0;
     std::uint64_t lastCall_ = 0;
-    void reportCut(CallId call);
+    void reportEventCount(CallId call);
 
     std::map<std::string, std::string> reports_;
     std::uint64_t lastReport_ = 0;
-    std::map<CallId, ProxyDispatch> orders_;
-    std::map<CallId, std::uint64_t> given_;
+    std::map<CallId, ProxyDispatch> dispatches_;
+    std::map<CallId, std::uint64_t> forwardedEvents_;
     std::map<CallId, Reply> replies_;
     std::set<CallId> failures_;
     std::set<AttemptId> cancelled_;
     std::vector<LogLine> lines_;
     bool ready_ = false;
     bool stopReady_ = false;
-    int hastenedReads_ = 0;
+    int expeditedReads_ = 0;
 };
 
 } // namespace swiftlift::node::testing
--- a/tests/node/ProxyBillTest.cpp
+++ b/tests/node/ProxyBillTest.cpp
@@ -14,98 +14,98 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    /** What may happen next to one stream, between its engine, the transport, the core and its caller. */
+    /** A step of one stream, by its engine, its caller, the transport or the core. */
     enum class Step : char {
-        /** The transport passes an event on, to nobody if the caller has left. */
+        /** The transport forwards an event, without effect if the caller has disconnected. */
         Event = 'e',
         Completes = 'c',
         Breaks = 'b',
-        CallerLeaves = 'l',
+        CallerDisconnects = 'l',
         DeadlinePasses = 'd',
-        /** The core takes the next report of the transport. */
-        CoreHears = 'h',
-        /** The transport takes all that the core has ordered. */
-        TransportObeys = 'o',
+        /** The core handles the next report of the transport. */
+        CoreHandlesReport = 'h',
+        /** The transport executes all actions that the core has emitted. */
+        TransportExecutes = 'o',
     };
 
-    constexpr Step allSteps[] = { Step::Event, Step::Completes, Step::Breaks, Step::CallerLeaves, Step::DeadlinePasses,
-        Step::CoreHears, Step::TransportObeys };
+    constexpr Step allSteps[] = { Step::Event, Step::Completes, Step::Breaks, Step::CallerDisconnects,
+        Step::DeadlinePasses, Step::CoreHandlesReport, Step::TransportExecutes };
 
     /**
-     * One stream of a real core with a transport that hears late and is heard late: both sides may act on while what
-     * they told each other is on its way.
+     * One stream of a real core with a simulated transport. The core's actions and the transport's reports are
+     * delivered with delay, so either side may act before it has received the other's latest message.
      */
     class OneStream {
     public:
-        static constexpr std::int64_t prompt = 100;
-        static constexpr std::int64_t perEvent = 7;
+        static constexpr std::int64_t promptTokens = 100;
+        static constexpr std::int64_t tokensPerEvent = 7;
 
         OneStream()
         {
-            world_.reportsCuts = false;
-            world_.settle();
-            call_ = world_.arrive("/resumable/x", prompt, 700, milliseconds(500));
-            obey();
+            world_.reportsEventCounts = false;
+            world_.becomeReady();
+            call_ = world_.arrive("/resumable/x", promptTokens, 700, milliseconds(500));
+            executeActions();
         }
 
-        [[nodiscard]] bool possible(Step step) const
+        [[nodiscard]] bool isPossible(Step step) const
         {
             switch (step) {
             case Step::Event:
-                return attempt_ && events_ < 2;
+                return attempt_ && forwardedEvents_ < 2;
             case Step::Completes:
             case Step::Breaks:
                 return attempt_.has_value();
-            case Step::CallerLeaves:
-                return known_;
+            case Step::CallerDisconnects:
+                return callerConnected_;
             case Step::DeadlinePasses:
-                return !late_;
-            case Step::CoreHears:
+                return !deadlinePassed_;
+            case Step::CoreHandlesReport:
                 return !reports_.empty();
-            case Step::TransportObeys:
+            case Step::TransportExecutes:
                 return true;
             }
             return false;
         }
 
-        void take(Step step)
+        void perform(Step step)
         {
             switch (step) {
             case Step::Event:
-                passEvent();
+                forwardEvent();
                 break;
             case Step::Completes:
                 endAttempt(ProxyAttemptEnd::Completed);
-                known_ = false;
+                callerConnected_ = false;
                 break;
             case Step::Breaks:
                 endAttempt(ProxyAttemptEnd::Broken);
                 break;
-            case Step::CallerLeaves:
-                reports_.emplace_back(ProxyRequestAbandoned { call_, events_ });
-                known_ = false;
+            case Step::CallerDisconnects:
+                reports_.emplace_back(ProxyRequestAbandoned { call_, forwardedEvents_ });
+                callerConnected_ = false;
                 break;
             case Step::DeadlinePasses:
-                late_ = true;
+                deadlinePassed_ = true;
                 world_.run(milliseconds(600));
                 break;
-            case Step::CoreHears:
-                world_.tell(reports_.front());
+            case Step::CoreHandlesReport:
+                world_.handle(reports_.front());
                 reports_.pop_front();
                 break;
-            case Step::TransportObeys:
-                obey();
+            case Step::TransportExecutes:
+                executeActions();
                 break;
             }
         }
 
-        /** Lets everything arrive that is on its way, and the bill land. */
+        /** Delivers all pending actions and reports, and lets the bill be written to the log. */
         void settle()
         {
             for (int round = 0; round < 4; ++round) {
-                obey();
+                executeActions();
                 while (!reports_.empty()) {
-                    take(Step::CoreHears);
+                    perform(Step::CoreHandlesReport);
                 }
                 world_.run(milliseconds(600));
             }
@@ -113,51 +113,55 @@
         }
 
         [[nodiscard]] Tokens billed() const { return world_.billed(); }
-        [[nodiscard]] Tokens given() const { return Tokens { given_ == 0 ? 0 : prompt + given_ * perEvent }; }
-        /** @return Whether a planned stop gives back all that was not billed: nothing is reserved any more. */
-        [[nodiscard]] bool restComesBack()
+        [[nodiscard]] Tokens expectedBill() const
         {
-            world_.tell(StopRequested {});
+            return Tokens { receivedEvents_ == 0 ? 0 : promptTokens + receivedEvents_ * tokensPerEvent };
+        }
+        /** @return Whether a planned stop returns all tokens that were not billed, so that none stays reserved. */
+        [[nodiscard]] bool returnsUnbilledTokens()
+        {
+            world_.handle(StopRequested {});
             world_.run(seconds(5));
             return world_.stopReady() && world_.budget().held == world_.budget().billed;
         }
 
     private:
-        void passEvent()
+        void forwardEvent()
         {
-            ++events_;
-            given_ += known_ ? 1 : 0;
+            ++forwardedEvents_;
+            receivedEvents_ += callerConnected_ ? 1 : 0;
             if (!reported_) {
                 reported_ = true;
-                reports_.emplace_back(ProxyAttemptProgress { attempt_->attempt, events_ });
+                reports_.emplace_back(ProxyAttemptProgress { attempt_->attempt, forwardedEvents_ });
             }
         }
 
-        void endAttempt(ProxyAttemptEnd how)
+        void endAttempt(ProxyAttemptEnd attemptEnd)
         {
-            reports_.emplace_back(ProxyAttemptEnded { attempt_->attempt, how, 200, events_, "explored" });
+            reports_.emplace_back(
+                ProxyAttemptEnded { attempt_->attempt, attemptEnd, 200, forwardedEvents_, "ended by the schedule" });
             attempt_.reset();
         }
 
-        void obey()
+        void executeActions()
         {
             if (attempt_ && world_.cancelled(*attempt_)) {
                 attempt_.reset();
             }
-            const auto order = world_.orderOf(call_);
-            if (order && order->attempt != taken_) {
-                taken_ = order->attempt;
+            const auto dispatch = world_.dispatchOf(call_);
+            if (dispatch && dispatch->attempt != lastAttempt_) {
+                lastAttempt_ = dispatch->attempt;
                 reported_ = false;
-                if (known_) {
-                    attempt_ = order;
+                if (callerConnected_) {
+                    attempt_ = dispatch;
                 } else {
-                    reports_.emplace_back(
-                        ProxyAttemptEnded { order->attempt, ProxyAttemptEnd::Unreachable, 0, 0, "the caller is gone" });
+                    reports_.emplace_back(ProxyAttemptEnded {
+                        dispatch->attempt, ProxyAttemptEnd::Unreachable, 0, 0, "the caller has disconnected" });
                 }
             }
-            if (known_ && (world_.replyOf(call_) || world_.failurePassedOn(call_))) {
-                known_ = false;
-                reports_.emplace_back(ProxyRequestAbandoned { call_, events_ });
+            if (callerConnected_ && (world_.replyOf(call_) || world_.failureForwarded(call_))) {
+                callerConnected_ = false;
+                reports_.emplace_back(ProxyRequestAbandoned { call_, forwardedEvents_ });
             }
         }
 
@@ -165,14 +169,14 @@
         CallId call_;
         std::deque<node::Event> reports_;
         std::optional<ProxyDispatch> attempt_;
-        AttemptId taken_;
+        AttemptId lastAttempt_;
         bool reported_ = false;
-        bool known_ = true;
-        bool late_ = false;
-        /** Events that the transport counts. */
-        std::uint64_t events_ = 0;
-        /** Of these, what the caller was given. */
-        std::int64_t given_ = 0;
+        bool callerConnected_ = true;
+        bool deadlinePassed_ = false;
+        /** Events that the transport counts as forwarded. */
+        std::uint64_t forwardedEvents_ = 0;
+        /** Events that the caller received. */
+        std::int64_t receivedEvents_ = 0;
     };
 
     class Exploration {
@@ -182,30 +186,30 @@
         {
         }
 
-        /** Plays the schedule to its end, and all that go on from it. */
+        /** Checks this schedule and, up to the maximum depth, all schedules that begin with it. */
         void explore(const std::string& schedule)
         {
             OneStream stream;
             for (const char step : schedule) {
-                stream.take(static_cast<Step>(step));
+                stream.perform(static_cast<Step>(step));
             }
             std::string next;
             for (const Step step : allSteps) {
-                if (stream.possible(step)) {
+                if (stream.isPossible(step)) {
                     next += static_cast<char>(step);
                 }
             }
             stream.settle();
             ++schedules_;
-            EXPECT_EQ(stream.billed(), stream.given()) << "schedule " << schedule;
-            EXPECT_TRUE(stream.restComesBack()) << "schedule " << schedule;
+            EXPECT_EQ(stream.billed(), stream.expectedBill()) << "schedule " << schedule;
+            EXPECT_TRUE(stream.returnsUnbilledTokens()) << "schedule " << schedule;
             if (schedule.size() == depth_ || ::testing::Test::HasFailure()) {
                 return;
             }
             for (const char step : next) {
-                // Obeying twice in a row is obeying once.
-                const bool again = step == static_cast<char>(Step::TransportObeys) && schedule.ends_with(step);
-                if (!again) {
+                // Executing the actions a second time in a row changes nothing.
+                const bool repeated = step == static_cast<char>(Step::TransportExecutes) && schedule.ends_with(step);
+                if (!repeated) {
                     explore(schedule + step);
                 }
             }
@@ -218,11 +222,11 @@
         std::size_t schedules_ = 0;
     };
 
-    // Symptom: an account pays for what its caller was not given, or is given what nobody pays for.
-    // Events: every order of a stream's events, its end or break, its caller's leaving, its deadline, and of what the
-    // transport and the core hear of each other, up to a number of steps.
-    // Cause: a bill made from half of what is known, or a reservation let go before the last event.
-    TEST(ProxyBill, IsWhatWasGivenInEverySchedule)
+    // Guards against bills that differ from what the caller received, because the bill was made before the last event
+    // was known or the reservation released before it. Explores every order of a stream's events, its completion or
+    // break, the caller's disconnection, the deadline, and the delivery of reports and actions, up to a number of
+    // steps.
+    TEST(ProxyBill, EqualsWhatTheCallerReceivedInEverySchedule)
     {
         constexpr std::size_t depth = 6;
         Exploration exploration(depth);
