--- a/include/swiftlift/placement/Planner.h
+++ b/include/swiftlift/placement/Planner.h
@@ -14,41 +14,46 @@
 
 namespace swiftlift::placement {
 
+/** Limits and times of the planner. */
 struct PlannerSettings {
-    /** Nothing is ordered before: reports of all engines come in first. */
+    /** Nothing is ordered for this long after the start, so that all engines can report first. */
     Duration warmUp = std::chrono::seconds(3);
-    /** An engine with an older report gets no new model and counts for nothing. */
+    /** An engine whose report is older gets no orders and is left out of all sums. */
     Duration reportLifetime = std::chrono::seconds(5);
-    /** Loads under way in the failure domain at once; the last one is kept for urgent ones. */
-    std::uint32_t loadsInFlight = 2;
-    /** Loads begun in a minute; half of them are kept for urgent ones. */
-    std::uint32_t loadsPerMinute = 6;
-    /** Models an engine can hold. */
-    std::size_t modelsPerEngine = 2;
-    /** Requests per slot above which a model wants another engine. */
+    /** Maximum of concurrent loads in the failure domain; the last one is reserved for urgent loads. */
+    std::uint32_t maxLoadsInFlight = 2;
+    /** Maximum of loads started within a minute; half of them are reserved for urgent loads. */
+    std::uint32_t maxLoadsPerMinute = 6;
+    /** Maximum of models that an engine can hold. */
+    std::size_t maxModelsPerEngine = 2;
+    /** Requests per slot above which a model needs another engine. */
     double busyUtilisation = 0.85;
-    /** Only an engine below this takes one more; a copy is spared only if the rest stay below it. */
+    /**
+     * Requests per slot below which an engine may take a further copy of a busy model. A copy is unloaded to make room
+     * only if the remaining copies stay below this value.
+     */
     double roomUtilisation = 0.5;
-    /** How long a model has to be busy without a break. */
-    Duration busyFor = std::chrono::seconds(10);
-    /** Between two convenient loads of one model. */
+    /** How long a model has to be busy without interruption before another copy is loaded. */
+    Duration minBusyTime = std::chrono::seconds(10);
+    /** Minimum time from a model's last load to its next load for the reason `Busy`. */
     Duration modelPause = std::chrono::seconds(60);
-    /** A model that was asked for this lately has demand. */
+    /** How long a model counts as in demand after its last request, and after the planner's start. */
     Duration demandMemory = std::chrono::seconds(60);
-    /** How long requests that found no engine make a load urgent. */
+    /** How long requests that found no engine with a model make a load of that model urgent. */
     Duration unservedMemory = std::chrono::seconds(10);
-    /** A model stays at least this long where it was loaded. */
-    Duration residence = std::chrono::seconds(120);
-    /** Between two assertions of an order that is not reported yet. */
-    Duration assertAgain = std::chrono::seconds(5);
-    /** After this, or so many failures in a row, an engine is given up for the model. */
-    Duration loadPatience = std::chrono::seconds(120);
-    std::uint32_t failuresAllowed = 3;
-    /** How long it is not asked again then. */
+    /** Minimum time that a model stays on the engine that loaded it. */
+    Duration minResidence = std::chrono::seconds(120);
+    /** Time between two sends of an order that the engine doesn't report as carried out yet. */
+    Duration resendPeriod = std::chrono::seconds(5);
+    /** How long a load may take before the planner abandons it. */
+    Duration loadTimeout = std::chrono::seconds(120);
+    /** Number of consecutive failures of an order at which the planner abandons the load. */
+    std::uint32_t maxFailures = 3;
+    /** How long an engine gets no new load of a model whose load there was abandoned. */
     Duration enginePause = std::chrono::seconds(60);
 };
 
-/** What an engine of the failure domain says of itself. */
+/** State of an engine of the failure domain, as reported by the engine. */
 struct EngineReport {
     BackendId backend;
     std::uint32_t running = 0;
@@ -56,25 +61,26 @@
     std::uint32_t slots = 1;
     std::vector<std::string> models;
     bool leaving = false;
-    /** Grows with each start of the engine. */
+    /** Increases with each start of the engine. */
     std::uint64_t generation = 0;
 };
 
-/** Which engines of the failure domain may have a model, by the services' documents. */
+/** By model: the engines of the failure domain that may load the model, according to the services' documents. */
 using Catalogue = std::map<std::string, std::vector<BackendId>>;
 
-/** A model that is asked for and that no engine can take. */
+/** A requested model that no engine can load. */
 struct Blocked {
     std::string model;
+    /** Number of recent requests that found no engine with the model. */
     std::uint32_t unserved = 0;
 };
 
 /**
- * @brief Which model has to be on which engine, for one tenure of one holder of the order lease.
+ * @brief Decides which models each engine has to have, for one lease term.
  *
- * It keeps the wished state and compares it with the reports; what differs is ordered, and ordered again until it is
- * reported. So a lost order, an engine's restart and a former holder's late order all mend alike. The first report of
- * an engine is its wished state to begin with.
+ * The planner keeps a desired state and compares it with the engines' reports. It orders each difference, repeatedly
+ * until the engine reports it as carried out. This corrects lost orders, restarts of engines and late orders of a
+ * former holder in the same way. The first report of an engine becomes its initial desired state.
  */
 class Planner {
 public:
@@ -83,17 +89,20 @@
     Planner(Planner&&) noexcept;
     Planner& operator=(Planner&&) noexcept;
 
+    /** @brief Replaces the catalogue. Engines and models that the new one does not name are dropped. */
     void setCatalogue(Catalogue catalogue);
+    /** @brief Applies an engine's report. Reports of engines outside the catalogue are ignored. */
     void onReport(const EngineReport& report, Instant now);
+    /** @brief Leaves an engine out of planning until its next report, as an expected report did not arrive. */
     void onReportMissed(const BackendId& backend);
-    /** @brief A request found no engine with the model. */
+    /** @brief Counts a request that found no engine with the model. */
     void onUnserved(const std::string& model, Instant now);
-    /** @brief The answer to the last order to this engine. */
+    /** @brief Applies the answer to the last order sent to this engine. */
     void onAnswer(const BackendId& backend, bool accepted, Instant now);
 
-    /** @return What has to be ordered now, urgent ones first; at most one order for an engine. */
+    /** @return The orders to send now, urgent ones first; at most one order per engine. */
     [[nodiscard]] std::vector<Order> plan(Instant now);
-    /** @return Models that no engine could take, as of the last plan. */
+    /** @return Requested models that no engine could load, as of the last call of `plan`. */
     [[nodiscard]] const std::vector<Blocked>& blocked() const noexcept;
 
 private:
--- a/include/swiftlift/placement/Record.h
+++ b/include/swiftlift/placement/Record.h
@@ -10,33 +10,33 @@
 
 namespace swiftlift::placement {
 
-/** Version of the fold's rules. A reader that meets a later version stops rather than guess. */
+/** Version of the fold's rules. A reader that finds a record of a later version issues no more orders. */
 inline constexpr std::uint32_t rulesVersion = 1;
 
 /** Claims or renews the order lease of a failure domain. */
 struct Claim {
     Incarnation holder;
-    /** Offset of the claim it takes over or renews, plus one; 0 when there was none. */
+    /** Offset of the claim that this claim supersedes or renews, plus one; 0 when there was none. */
     std::uint64_t replaces = 0;
-    /** Of a renewal: the tenure's fencing number. 0 begins a tenure. */
+    /** In a renewal, the fencing number of the lease term; 0 in a claim that begins a lease term. */
     std::uint64_t fencing = 0;
-    /** Numbers the holder's appends, so that it knows which of them was read back. */
+    /** Sequence number of the holder's appends, by which the holder recognises its records when reading them back. */
     std::uint64_t sequence = 0;
 
     [[nodiscard]] bool operator==(const Claim&) const = default;
 };
 
-/** Requests found no engine with these models. */
+/** Names models for which requests found no engine. */
 struct Need {
     std::vector<std::string> models;
 
     [[nodiscard]] bool operator==(const Need&) const = default;
 };
 
-/** A record that can't be read by anybody: all readers skip it alike. */
+/** A record that can't be parsed. All readers skip such records. */
 struct Unreadable { };
 
-/** A record of later rules than this program's. */
+/** A record whose rules version is later than `rulesVersion`. */
 struct LaterRules { };
 
 using Record = std::variant<Claim, Need, Unreadable, LaterRules>;
@@ -44,8 +44,11 @@
 /** @return Name of the stream that holds the order lease of `domain`. */
 [[nodiscard]] StreamName ordersStream(const FailureDomain& domain);
 
+/** @return The serialised record, with `rulesVersion`. */
 [[nodiscard]] std::string encode(const Claim& claim);
+/** @return The serialised record, with `rulesVersion`. */
 [[nodiscard]] std::string encode(const Need& need);
+/** @return The parsed record; `Unreadable` or `LaterRules` when it can't be applied. */
 [[nodiscard]] Record decode(const std::string& bytes);
 
 } // namespace swiftlift::placement
--- a/src/placement/Fleet.cpp
+++ b/src/placement/Fleet.cpp
@@ -10,13 +10,13 @@
 void Fleet::setCatalogue(Catalogue catalogue)
 {
     catalogue_ = std::move(catalogue);
-    std::set<BackendId> named;
+    std::set<BackendId> listed;
     for (auto& [model, backends] : catalogue_) {
         std::sort(backends.begin(), backends.end());
-        named.insert(backends.begin(), backends.end());
+        listed.insert(backends.begin(), backends.end());
     }
-    std::erase_if(engines_, [&](const auto& entry) { return !named.contains(entry.first); });
-    for (const auto& backend : named) {
+    std::erase_if(engines_, [&](const auto& entry) { return !listed.contains(entry.first); });
+    for (const auto& backend : listed) {
         engines_.try_emplace(backend, *settings_);
     }
 }
@@ -27,7 +27,7 @@
     return found == engines_.end() ? nullptr : &found->second;
 }
 
-bool Fleet::names(const std::string& model, const BackendId& backend) const
+bool Fleet::isListed(const std::string& model, const BackendId& backend) const
 {
     const auto found = catalogue_.find(model);
     return found != catalogue_.end() && std::binary_search(found->second.begin(), found->second.end(), backend);
@@ -40,7 +40,7 @@
         return;
     }
     for (const auto& backend : found->second) {
-        if (const Engine& engine = engines_.at(backend); engine.usable(now)) {
+        if (const Engine& engine = engines_.at(backend); engine.isUsable(now)) {
             visit(backend, engine);
         }
     }
@@ -66,40 +66,41 @@
     return count;
 }
 
-bool Fleet::wished(const std::string& model, Instant now) const
+bool Fleet::isDesired(const std::string& model, Instant now) const
 {
     bool found = false;
-    forEach(model, now, [&](const BackendId&, const Engine& engine) { found = found || engine.wishes(model); });
+    forEach(model, now, [&](const BackendId&, const Engine& engine) { found = found || engine.isDesired(model); });
     return found;
 }
 
-bool Fleet::maySpare(const std::string& model, const BackendId& backend, Instant now) const
+bool Fleet::mayUnload(const std::string& model, const BackendId& backend, Instant now) const
 {
-    bool kept = false;
+    bool copyRemains = false;
     forEach(model, now, [&](const BackendId& other, const Engine& engine) {
-        kept = kept || (other != backend && engine.reports(model) && engine.wishes(model));
+        copyRemains = copyRemains || (other != backend && engine.reports(model) && engine.isDesired(model));
     });
-    return kept || !demand_->hasDemand(model, now);
+    return copyRemains || !demand_->hasDemand(model, now);
 }
 
 std::uint32_t Fleet::loadsInFlight(Instant now) const
 {
     std::uint32_t count = 0;
     for (const auto& [backend, engine] : engines_) {
-        count += engine.usable(now) ? engine.loading() : 0;
+        count += engine.isUsable(now) ? engine.sentLoads() : 0;
     }
     return count;
 }
 
-std::string Fleet::victimOf(const BackendId& backend, const Engine& engine, Instant now) const
+std::string Fleet::chooseVictim(const BackendId& backend, const Engine& engine, Instant now) const
 {
     std::optional<std::tuple<bool, double, std::string>> best;
-    for (const auto& [model, since] : engine.wished()) {
-        const double rest = utilisation(model, now, backend);
-        if (!engine.settled(model, now) || !maySpare(model, backend, now) || rest >= settings_->roomUtilisation) {
+    for (const auto& [model, since] : engine.desiredModels()) {
+        const double remaining = utilisation(model, now, backend);
+        if (!engine.isResidenceOver(model, now) || !mayUnload(model, backend, now)
+            || remaining >= settings_->roomUtilisation) {
             continue;
         }
-        const auto candidate = std::make_tuple(demand_->hasDemand(model, now), rest, model);
+        const auto candidate = std::make_tuple(demand_->hasDemand(model, now), remaining, model);
         if (!best || candidate < *best) {
             best = candidate;
         }
@@ -107,21 +108,21 @@
     return best ? std::get<std::string>(*best) : std::string {};
 }
 
-std::optional<Place> Fleet::choose(const std::string& model, std::optional<double> below, Instant now) const
+std::optional<LoadTarget> Fleet::chooseTarget(const std::string& model, std::optional<double> below, Instant now) const
 {
-    // One with room first, then the least loaded, then the one with the fewest models.
+    // Engines with room come first, then those with the lowest utilisation, then those with the fewest models.
     std::optional<std::tuple<bool, double, std::size_t, BackendId, std::string>> best;
     forEach(model, now, [&](const BackendId& backend, const Engine& engine) {
-        const bool tooFull = below && engine.utilisation() >= *below;
-        if (engine.wishes(model) || engine.reports(model) || engine.avoids(model, now) || tooFull) {
+        const bool tooBusy = below && engine.utilisation() >= *below;
+        if (engine.isDesired(model) || engine.reports(model) || engine.isPaused(model, now) || tooBusy) {
             return;
         }
-        const std::string victim = engine.wishesRoom() ? std::string {} : victimOf(backend, engine, now);
-        if (!engine.wishesRoom() && victim.empty()) {
+        const std::string victim = engine.belowDesiredLimit() ? std::string {} : chooseVictim(backend, engine, now);
+        if (!engine.belowDesiredLimit() && victim.empty()) {
             return;
         }
         auto candidate
-            = std::make_tuple(!victim.empty(), engine.utilisation(), engine.wished().size(), backend, victim);
+            = std::make_tuple(!victim.empty(), engine.utilisation(), engine.desiredModels().size(), backend, victim);
         if (!best || candidate < *best) {
             best = std::move(candidate);
         }
@@ -129,7 +130,7 @@
     if (!best) {
         return std::nullopt;
     }
-    return Place { std::get<BackendId>(*best), std::get<std::string>(*best) };
+    return LoadTarget { std::get<BackendId>(*best), std::get<std::string>(*best) };
 }
 
 } // namespace swiftlift::placement
--- a/src/placement/LeaseFold.cpp
+++ b/src/placement/LeaseFold.cpp
@@ -5,15 +5,16 @@
 bool LeaseFold::apply(Offset offset, const Claim& claim)
 {
     skip(offset);
-    const bool namesTheFuture = claim.replaces > offset.value();
-    if (namesTheFuture) {
+    const bool namesNoEarlierRecord = claim.replaces > offset.value();
+    if (namesNoEarlierRecord) {
         return false;
     }
     if (claim.replaces < replaces()) {
         if (!leaseTerm_) {
-            // What goes wrong: a reader without the first records takes a claim for the winner that has lost to one it
-            // can't judge, and two routers give orders. This claim may have won, so only one that names it is sure to.
-            bound_ = offset.value() + 1;
+            // A reader without the first records can't tell whether this claim won. If it did, later claims that don't
+            // name it lose; taking one of them for the winner would let two routers issue orders. So from now on only a
+            // claim that names this record or a later one is known to win.
+            claimBound_ = offset.value() + 1;
         }
         return false;
     }
@@ -24,16 +25,16 @@
 std::uint64_t LeaseFold::fencingOf(Offset offset, const Claim& claim) const
 {
     const bool renews = claim.fencing != 0 && claim.fencing <= offset.value();
-    const bool ofThisTenure
+    const bool ofThisLeaseTerm
         = !leaseTerm_ || (leaseTerm_->holder == claim.holder && leaseTerm_->fencing == claim.fencing);
-    return renews && ofThisTenure ? claim.fencing : offset.value() + 1;
+    return renews && ofThisLeaseTerm ? claim.fencing : offset.value() + 1;
 }
 
 void LeaseFold::restart(Offset oldest)
 {
     next_ = oldest;
     leaseTerm_.reset();
-    bound_ = oldest.value();
+    claimBound_ = oldest.value();
 }
 
 } // namespace swiftlift::placement
--- a/src/placement/LoadPace.cpp
+++ b/src/placement/LoadPace.cpp
@@ -12,22 +12,23 @@
 } // namespace internal
 
 LoadPace::LoadPace(const PlannerSettings& settings)
-    : inFlight_(settings.loadsInFlight)
-    , perMinute_(settings.loadsPerMinute)
+    : maxInFlight_(settings.maxLoadsInFlight)
+    , maxPerMinute_(settings.maxLoadsPerMinute)
 {
 }
 
-bool LoadPace::mayBegin(Urgency urgency, std::uint32_t inFlight, Instant now)
+bool LoadPace::mayStartLoad(Urgency urgency, std::uint32_t inFlight, Instant now)
 {
-    while (!begun_.empty() && begun_.front() + internal::minute <= now) {
-        begun_.pop_front();
+    while (!recentStarts_.empty() && recentStarts_.front() + internal::minute <= now) {
+        recentStarts_.pop_front();
     }
     if (urgency == Urgency::Urgent) {
-        return inFlight < inFlight_ && begun_.size() < perMinute_;
+        return inFlight < maxInFlight_ && recentStarts_.size() < maxPerMinute_;
     }
-    const std::uint32_t inFlightLeft = std::max<std::uint32_t>(inFlight_, 2) - 1;
-    const std::uint32_t perMinuteLeft = std::max<std::uint32_t>(perMinute_ / 2, 1);
-    return inFlight < std::min(inFlightLeft, inFlight_) && begun_.size() < std::min(perMinuteLeft, perMinute_);
+    const std::uint32_t maxInFlightConvenient = std::max<std::uint32_t>(maxInFlight_, 2) - 1;
+    const std::uint32_t maxPerMinuteConvenient = std::max<std::uint32_t>(maxPerMinute_ / 2, 1);
+    return inFlight < std::min(maxInFlightConvenient, maxInFlight_)
+        && recentStarts_.size() < std::min(maxPerMinuteConvenient, maxPerMinute_);
 }
 
 } // namespace swiftlift::placement
--- a/src/placement/ModelDemand.cpp
+++ b/src/placement/ModelDemand.cpp
@@ -37,9 +37,9 @@
 std::uint32_t ModelDemand::unserved(const std::string& model, Instant now) const
 {
     const Model* entry = find(model);
-    const bool lately
+    const bool isRecent
         = entry != nullptr && entry->lastUnserved && now < *entry->lastUnserved + settings_.unservedMemory;
-    return lately ? entry->unserved : 0;
+    return isRecent ? entry->unserved : 0;
 }
 
 bool ModelDemand::hasDemand(const std::string& model, Instant now) const
@@ -51,10 +51,10 @@
     return now < last + settings_.demandMemory;
 }
 
-bool ModelDemand::busy(const std::string& model, Instant now) const
+bool ModelDemand::isBusyLongEnough(const std::string& model, Instant now) const
 {
     const Model* entry = find(model);
-    return entry != nullptr && entry->busySince && now >= *entry->busySince + settings_.busyFor;
+    return entry != nullptr && entry->busySince && now >= *entry->busySince + settings_.minBusyTime;
 }
 
 } // namespace swiftlift::placement
--- a/src/placement/ModelDemand.h
+++ b/src/placement/ModelDemand.h
@@ -10,23 +10,26 @@
 
 namespace swiftlift::placement {
 
-/** Who asks for which model, and since when its engines are nearly full. */
+/** Tracks by model the recent requests, and since when the engines with the model have been nearly full. */
 class ModelDemand {
 public:
     ModelDemand(const PlannerSettings& settings, Instant startedAt);
 
+    /** @brief Counts a request that found no engine with the model. */
     void onUnserved(const std::string& model, Instant now);
-    /** @brief An engine that has the model runs requests. */
+    /** @brief Notes that an engine with the model has requests. */
     void onUsed(const std::string& model, Instant now) { models_[model].lastUsed = now; }
+    /** @brief Notes the requests per slot on the engines with the model. */
     void noteUtilisation(const std::string& model, double utilisation, Instant now);
 
-    /** @return Requests that found no engine with it lately. */
+    /** @return Number of recent requests that found no engine with the model. */
     [[nodiscard]] std::uint32_t unserved(const std::string& model, Instant now) const;
-    /** @return True unless nobody has asked for it for a while; before anything is known, true. */
+    /** @return True when the model was requested within `demandMemory`, or the planner started within that time. */
     [[nodiscard]] bool hasDemand(const std::string& model, Instant now) const;
-    /** @return True when its engines have been nearly full for long enough. */
-    [[nodiscard]] bool busy(const std::string& model, Instant now) const;
-    template <typename Keep> void keepOnly(Keep keep)
+    /** @return True when the engines with the model have been nearly full for `minBusyTime`. */
+    [[nodiscard]] bool isBusyLongEnough(const std::string& model, Instant now) const;
+    /** @brief Drops the models for which `keep` returns false. */
+    template <typename Keep> void eraseUnless(Keep keep)
     {
         std::erase_if(models_, [&](const auto& entry) { return !keep(entry.first); });
     }
--- a/src/placement/OrderLease.cpp
+++ b/src/placement/OrderLease.cpp
@@ -8,7 +8,7 @@
 
 namespace internal {
 
-    /** Renewals in a lease time: two may fail before the lease runs out. */
+    /** Renewals per lease time; two in a row may fail before the lease runs out. */
     constexpr int renewalsPerLease = 3;
 
 } // namespace internal
@@ -39,7 +39,7 @@
     , settings_(settings)
     , random_(seed)
 {
-    assert(settings_.leaseTime > Duration {} && "a lease needs a time");
+    assert(settings_.leaseTime > Duration {} && "the lease time must be positive");
 }
 
 void OrderLease::onRecord(Offset offset, const Record& record, Instant now)
@@ -51,7 +51,7 @@
     fold_.skip(offset);
     if (std::holds_alternative<LaterRules>(record) && !laterRules_) {
         laterRules_ = true;
-        change(LeaseChangeKind::LaterRules);
+        addChange(LeaseChangeKind::LaterRules);
     }
 }
 
@@ -61,15 +61,15 @@
     if (!fold_.apply(offset, claim)) {
         return;
     }
-    readAt_ = now;
+    winnerReadAt_ = now;
     stagger_.reset();
-    heldFrom_.reset();
+    leaseStart_.reset();
     if (claim.holder == self_) {
-        // What goes wrong: an append is held up for a minute, lands and is read back. Counted from now, the lease would
-        // hold while the others' wait is over. So it counts from when this very append was sent.
-        if (const auto found = sent_.find(claim.sequence); found != sent_.end()) {
-            heldFrom_ = found->second;
-            sent_.erase(sent_.begin(), std::next(found));
+        // The lease counts from when this append was sent. An append can be delayed, for example by a minute, before it
+        // reaches the log. If the lease counted from now, it would still hold after the other routers' wait is over.
+        if (const auto found = claimSentAt_.find(claim.sequence); found != claimSentAt_.end()) {
+            leaseStart_ = found->second;
+            claimSentAt_.erase(claimSentAt_.begin(), std::next(found));
         }
     }
     noteLeaseTerm(before);
@@ -79,22 +79,22 @@
 {
     const bool same = before && before->fencing == fencing();
     if (!same) {
-        change(own() ? LeaseChangeKind::Taken : LeaseChangeKind::OtherTook);
-        couldOrder_ = own();
+        addChange(isOwn() ? LeaseChangeKind::Taken : LeaseChangeKind::OtherTook);
+        couldIssueOrders_ = isOwn();
     }
 }
 
-void OrderLease::noteLapse(Instant now)
+void OrderLease::updateLapse(Instant now)
 {
     const bool can = mayIssueOrders(now);
-    if (can == couldOrder_) {
+    if (can == couldIssueOrders_) {
         return;
     }
-    couldOrder_ = can;
-    change(can ? LeaseChangeKind::Resumed : LeaseChangeKind::Lapsed);
+    couldIssueOrders_ = can;
+    addChange(can ? LeaseChangeKind::Resumed : LeaseChangeKind::Lapsed);
 }
 
-void OrderLease::change(LeaseChangeKind kind)
+void OrderLease::addChange(LeaseChangeKind kind)
 {
     const auto& leaseTerm = fold_.leaseTerm();
     changes_.push_back({ kind, leaseTerm ? leaseTerm->holder : Incarnation {}, fencing() });
@@ -111,23 +111,23 @@
 {
     fold_.restart(oldest);
     caughtUpAt_.reset();
-    heldFrom_.reset();
+    leaseStart_.reset();
     stagger_.reset();
-    couldOrder_ = false;
-    change(LeaseChangeKind::Forgotten);
+    couldIssueOrders_ = false;
+    addChange(LeaseChangeKind::Forgotten);
 }
 
 void OrderLease::onStale(std::uint64_t fencing)
 {
-    if (!own() || fencing <= this->fencing()) {
+    if (!isOwn() || fencing <= this->fencing()) {
         return;
     }
     endedFencing_ = this->fencing();
-    couldOrder_ = false;
-    change(LeaseChangeKind::Stale);
+    couldIssueOrders_ = false;
+    addChange(LeaseChangeKind::Stale);
 }
 
-bool OrderLease::own() const noexcept
+bool OrderLease::isOwn() const noexcept
 {
     const auto& leaseTerm = fold_.leaseTerm();
     return leaseTerm && leaseTerm->holder == self_ && leaseTerm->fencing != endedFencing_;
@@ -141,61 +141,61 @@
 
 std::optional<Instant> OrderLease::until() const noexcept
 {
-    const bool holds = own() && !laterRules_ && heldFrom_;
-    return holds ? std::optional(*heldFrom_ + settings_.leaseTime) : std::nullopt;
+    const bool holds = isOwn() && !laterRules_ && leaseStart_;
+    return holds ? std::optional(*leaseStart_ + settings_.leaseTime) : std::nullopt;
 }
 
 std::optional<Claim> OrderLease::due(bool eligible, Instant now)
 {
-    noteLapse(now);
+    updateLapse(now);
     const bool mayClaim = eligible && caughtUpAt_ && !laterRules_;
     if (!mayClaim) {
         stagger_.reset();
         return std::nullopt;
     }
-    // An append whose answer never comes may not silence this router for good.
-    const Duration pause = underWay_ ? settings_.leaseTime / 2 : settings_.retryPeriod;
+    // While an append is unanswered, the router waits longer, but not for ever: the answer may never come.
+    const Duration pause = appendInFlight_ ? settings_.leaseTime / 2 : settings_.retryPeriod;
     const bool pausing = lastSequence_ > 0 && now < lastSent_ + pause;
-    if (own()) {
-        return renewalDue(now) && !pausing ? std::optional(write(fencing(), now)) : std::nullopt;
+    if (isOwn()) {
+        return renewalDue(now) && !pausing ? std::optional(makeClaim(fencing(), now)) : std::nullopt;
     }
-    return claimDue(now) && !pausing ? std::optional(write(0, now)) : std::nullopt;
+    return claimDue(now) && !pausing ? std::optional(makeClaim(0, now)) : std::nullopt;
 }
 
 bool OrderLease::renewalDue(Instant now) const noexcept
 {
-    return !heldFrom_ || now >= *heldFrom_ + settings_.leaseTime / internal::renewalsPerLease;
+    return !leaseStart_ || now >= *leaseStart_ + settings_.leaseTime / internal::renewalsPerLease;
 }
 
-Instant OrderLease::freeAt() const noexcept
+Instant OrderLease::claimableFrom() const noexcept
 {
     const Duration wait = settings_.leaseTime + settings_.grace;
     if (fold_.leaseTerm()) {
-        return readAt_ + wait;
+        return winnerReadAt_ + wait;
     }
     return fold_.unknown() ? *caughtUpAt_ + wait : *caughtUpAt_;
 }
 
 bool OrderLease::claimDue(Instant now)
 {
-    if (now < freeAt()) {
+    if (now < claimableFrom()) {
         return false;
     }
     if (!stagger_) {
-        const auto choices = static_cast<std::uint64_t>(settings_.longestStagger.count()) + 1;
+        const auto choices = static_cast<std::uint64_t>(settings_.maxStagger.count()) + 1;
         const Duration wait { static_cast<Duration::rep>(random_() % choices) };
-        stagger_ = (now - freeAt()) + wait;
+        stagger_ = (now - claimableFrom()) + wait;
     }
-    return now >= freeAt() + *stagger_;
+    return now >= claimableFrom() + *stagger_;
 }
 
-Claim OrderLease::write(std::uint64_t fencing, Instant now)
+Claim OrderLease::makeClaim(std::uint64_t fencing, Instant now)
 {
-    underWay_ = true;
+    appendInFlight_ = true;
     lastSent_ = now;
     ++lastSequence_;
-    std::erase_if(sent_, [&](const auto& entry) { return entry.second + settings_.leaseTime <= now; });
-    sent_[lastSequence_] = now;
+    std::erase_if(claimSentAt_, [&](const auto& entry) { return entry.second + settings_.leaseTime <= now; });
+    claimSentAt_[lastSequence_] = now;
     return { self_, fold_.replaces(), fencing, lastSequence_ };
 }
 
--- a/src/placement/Planner.cpp
+++ b/src/placement/Planner.cpp
@@ -17,28 +17,41 @@
         , startedAt(now)
         , demand(settings, now)
         , fleet(settings, demand)
-        , pace(settings)
+        , loadPace(settings)
     {
     }
 
-    void giveUp(Instant now);
-    void repair(Instant now);
-    void repairMissing(const BackendId& backend, Engine& engine, Instant now);
-    void repairSurplus(const BackendId& backend, Engine& engine, Instant now);
-    void wishUnserved(Instant now);
-    void wishBusy(Instant now);
-    void place(const std::string& model, const Place& where, Urgency urgency, OrderReason reason, Instant now);
+    /** @brief Drops the loads of all engines that took too long or failed too often. */
+    void abandonLoads(Instant now);
+    /** @brief Resolves the differences between the reported and the desired models of the usable engines. */
+    void reconcile(Instant now);
+    /** @brief Orders loads of desired models that the engine does not report. */
+    void reconcileMissing(const BackendId& backend, Engine& engine, Instant now);
+    /** @brief Unloads or adopts reported models that are not desired on the engine. */
+    void reconcileSurplus(const BackendId& backend, Engine& engine, Instant now);
+    /** @brief Places models for which requests found no engine. */
+    void placeUnserved(Instant now);
+    /** @brief Places further copies of models whose engines have been nearly full for long enough. */
+    void placeBusy(Instant now);
+    /** @brief Makes the load of a model pending, and the unload of the target's victim. */
+    void placeModel(
+        const std::string& model, const LoadTarget& target, Urgency urgency, OrderReason reason, Instant now);
+    /** @brief Cancels pending unloads of models that their engine may no longer lose. */
     void cancelUnsafeUnloads(Instant now);
-    [[nodiscard]] std::vector<Order> dueOrders(Instant now);
+    /** @return All orders that are due, urgent ones first, then by unserved requests. */
+    [[nodiscard]] std::vector<Order> collectDueOrders(Instant now);
+    /** @return True when the load may be sent now. A first send counts against the load limits. */
     [[nodiscard]] bool mayLoad(const Engine& engine, const Order& order, Instant now);
-    [[nodiscard]] std::vector<Order> emit(Instant now);
+    /** @return The due orders that may be sent now, at most one per engine; marks them as sent. */
+    [[nodiscard]] std::vector<Order> takeOrdersToSend(Instant now);
 
     const PlannerSettings settings;
     Instant startedAt;
     ModelDemand demand;
     Fleet fleet;
-    LoadPace pace;
-    std::map<std::string, Instant> lastLoad;
+    LoadPace loadPace;
+    /** By model: when it was last placed on an engine. */
+    std::map<std::string, Instant> lastPlacedAt;
     std::vector<Blocked> blocked;
 };
 
@@ -53,9 +66,9 @@
 
 void Planner::setCatalogue(Catalogue catalogue)
 {
-    const auto named = [&](const std::string& model) { return catalogue.contains(model); };
-    state_->demand.keepOnly(named);
-    std::erase_if(state_->lastLoad, [&](const auto& entry) { return !named(entry.first); });
+    const auto listed = [&](const std::string& model) { return catalogue.contains(model); };
+    state_->demand.eraseUnless(listed);
+    std::erase_if(state_->lastPlacedAt, [&](const auto& entry) { return !listed(entry.first); });
     state_->fleet.setCatalogue(std::move(catalogue));
 }
 
@@ -91,7 +104,7 @@
 {
     if (Engine* engine = state_->fleet.find(backend)) {
         engine->onAnswer(accepted);
-        engine->giveUp(now);
+        engine->abandonLoads(now);
     }
 }
 
@@ -103,116 +116,116 @@
         return {};
     }
     state_->blocked.clear();
-    state_->giveUp(now);
-    state_->repair(now);
-    state_->wishUnserved(now);
-    state_->wishBusy(now);
+    state_->abandonLoads(now);
+    state_->reconcile(now);
+    state_->placeUnserved(now);
+    state_->placeBusy(now);
     state_->cancelUnsafeUnloads(now);
-    return state_->emit(now);
+    return state_->takeOrdersToSend(now);
 }
 
-void Planner::State::giveUp(Instant now)
+void Planner::State::abandonLoads(Instant now)
 {
     for (auto& [backend, engine] : fleet.engines()) {
-        engine.giveUp(now);
+        engine.abandonLoads(now);
     }
 }
 
-void Planner::State::repair(Instant now)
+void Planner::State::reconcile(Instant now)
 {
     for (auto& [backend, engine] : fleet.engines()) {
-        if (engine.usable(now)) {
-            repairMissing(backend, engine, now);
-            repairSurplus(backend, engine, now);
+        if (engine.isUsable(now)) {
+            reconcileMissing(backend, engine, now);
+            reconcileSurplus(backend, engine, now);
         }
     }
 }
 
-void Planner::State::repairMissing(const BackendId& backend, Engine& engine, Instant now)
+void Planner::State::reconcileMissing(const BackendId& backend, Engine& engine, Instant now)
 {
     std::vector<std::string> missing;
-    for (const auto& [model, since] : engine.wished()) {
+    for (const auto& [model, since] : engine.desiredModels()) {
         if (!engine.reports(model) && !engine.pending().contains(model)) {
             missing.push_back(model);
         }
     }
     for (const auto& model : missing) {
-        if (!fleet.names(model, backend) || !engine.hasRoom()) {
-            engine.forget(model);
+        if (!fleet.isListed(model, backend) || !engine.hasRoom()) {
+            engine.removeDesired(model);
             continue;
         }
-        const bool gone = fleet.copies(model, now) == 0 && demand.hasDemand(model, now);
-        engine.load(model, gone ? Urgency::Urgent : Urgency::Convenient, OrderReason::Missing, now);
+        const bool demandUnmet = fleet.copies(model, now) == 0 && demand.hasDemand(model, now);
+        engine.load(model, demandUnmet ? Urgency::Urgent : Urgency::Convenient, OrderReason::Missing, now);
     }
 }
 
-void Planner::State::repairSurplus(const BackendId& backend, Engine& engine, Instant now)
+void Planner::State::reconcileSurplus(const BackendId& backend, Engine& engine, Instant now)
 {
     for (const auto& model : engine.reported()) {
-        if (engine.wishes(model) || engine.pending().contains(model)) {
+        if (engine.isDesired(model) || engine.pending().contains(model)) {
             continue;
         }
-        // What goes wrong: an engine that does not check fencing numbers obeys a former holder's late order and is
-        // fuller than it should be. One notices it by a model in its report that nobody wishes there. Where there is
-        // room it does no harm and may be of use.
-        if (engine.overfull() && fleet.maySpare(model, backend, now)) {
+        // An engine that does not check fencing numbers can carry out a former holder's late order and then reports a
+        // model that is not desired there. The model is unloaded only if the engine is overfull; where there is room,
+        // the model does no harm and may be of use.
+        if (engine.isOverfull() && fleet.mayUnload(model, backend, now)) {
             engine.unload(model, Urgency::Convenient, OrderReason::Unwanted, now);
             continue;
         }
-        const std::string victim = engine.overfull() ? fleet.victimOf(backend, engine, now) : std::string {};
-        engine.adopt(model, now);
+        const std::string victim = engine.isOverfull() ? fleet.chooseVictim(backend, engine, now) : std::string {};
+        engine.addDesired(model, now);
         if (!victim.empty()) {
             engine.unload(victim, Urgency::Convenient, OrderReason::Room, now);
         }
     }
 }
 
-void Planner::State::wishUnserved(Instant now)
+void Planner::State::placeUnserved(Instant now)
 {
-    std::vector<std::pair<std::uint32_t, std::string>> wanted;
+    std::vector<std::pair<std::uint32_t, std::string>> unservedModels;
     for (const auto& [model, backends] : fleet.catalogue()) {
         if (const std::uint32_t unserved = demand.unserved(model, now); unserved > 0) {
-            wanted.emplace_back(unserved, model);
+            unservedModels.emplace_back(unserved, model);
         }
     }
-    std::sort(wanted.rbegin(), wanted.rend());
-    for (const auto& [unserved, model] : wanted) {
-        if (fleet.wished(model, now)) {
+    std::sort(unservedModels.rbegin(), unservedModels.rend());
+    for (const auto& [unserved, model] : unservedModels) {
+        if (fleet.isDesired(model, now)) {
             for (auto& [backend, engine] : fleet.engines()) {
                 engine.makeUrgent(model);
             }
-        } else if (const auto where = fleet.choose(model, std::nullopt, now)) {
-            place(model, *where, Urgency::Urgent, OrderReason::Unserved, now);
+        } else if (const auto target = fleet.chooseTarget(model, std::nullopt, now)) {
+            placeModel(model, *target, Urgency::Urgent, OrderReason::Unserved, now);
         } else if (fleet.copies(model, now) == 0) {
             blocked.push_back({ model, unserved });
         }
     }
 }
 
-void Planner::State::wishBusy(Instant now)
+void Planner::State::placeBusy(Instant now)
 {
     for (const auto& [model, backends] : fleet.catalogue()) {
         demand.noteUtilisation(model, fleet.utilisation(model, now), now);
-        const auto last = lastLoad.find(model);
-        const bool pausing = last != lastLoad.end() && now < last->second + settings.modelPause;
-        if (!demand.busy(model, now) || pausing) {
+        const auto last = lastPlacedAt.find(model);
+        const bool pausing = last != lastPlacedAt.end() && now < last->second + settings.modelPause;
+        if (!demand.isBusyLongEnough(model, now) || pausing) {
             continue;
         }
-        if (const auto where = fleet.choose(model, settings.roomUtilisation, now)) {
-            place(model, *where, Urgency::Convenient, OrderReason::Busy, now);
+        if (const auto target = fleet.chooseTarget(model, settings.roomUtilisation, now)) {
+            placeModel(model, *target, Urgency::Convenient, OrderReason::Busy, now);
         }
     }
 }
 
-void Planner::State::place(
-    const std::string& model, const Place& where, Urgency urgency, OrderReason reason, Instant now)
+void Planner::State::placeModel(
+    const std::string& model, const LoadTarget& target, Urgency urgency, OrderReason reason, Instant now)
 {
-    Engine& engine = *fleet.find(where.backend);
-    if (!where.victim.empty()) {
-        engine.unload(where.victim, urgency, OrderReason::Room, now);
+    Engine& engine = *fleet.find(target.backend);
+    if (!target.victim.empty()) {
+        engine.unload(target.victim, urgency, OrderReason::Room, now);
     }
     engine.load(model, urgency, reason, now);
-    lastLoad[model] = now;
+    lastPlacedAt[model] = now;
 }
 
 void Planner::State::cancelUnsafeUnloads(Instant now)
@@ -220,9 +233,9 @@
     for (auto& [backend, engine] : fleet.engines()) {
         std::vector<std::string> unsafe;
         for (const auto& [model, order] : engine.pending()) {
-            // What goes wrong: the engine that was to keep the model dies between the decision and the order, and the
-            // last copy goes while requests ask for it.
-            if (order.kind == OrderKind::UnloadModel && !fleet.maySpare(model, backend, now)) {
+            // The engine that was to keep the model can fail between the decision and the order. The unload would then
+            // remove the last copy of a model in demand.
+            if (order.kind == OrderKind::UnloadModel && !fleet.mayUnload(model, backend, now)) {
                 unsafe.push_back(model);
             }
         }
@@ -232,15 +245,15 @@
     }
 }
 
-std::vector<Order> Planner::State::dueOrders(Instant now)
+std::vector<Order> Planner::State::collectDueOrders(Instant now)
 {
     std::vector<Order> orders;
     for (const auto& [backend, engine] : fleet.engines()) {
-        if (!engine.usable(now)) {
+        if (!engine.isUsable(now)) {
             continue;
         }
         for (const auto& [model, pending] : engine.pending()) {
-            if (engine.due(pending, now)) {
+            if (engine.isDue(pending, now)) {
                 orders.push_back(
                     { pending.kind, backend, model, pending.urgency, pending.reason, pending.lastSent.has_value(),
                         fleet.utilisation(model, now), fleet.copies(model, now), demand.unserved(model, now) });
@@ -258,25 +271,25 @@
     if (order.repeated) {
         return true;
     }
-    if (!engine.hasRoom() || !pace.mayBegin(order.urgency, fleet.loadsInFlight(now), now)) {
+    if (!engine.hasRoom() || !loadPace.mayStartLoad(order.urgency, fleet.loadsInFlight(now), now)) {
         return false;
     }
-    pace.onBegun(now);
+    loadPace.onLoadStarted(now);
     return true;
 }
 
-std::vector<Order> Planner::State::emit(Instant now)
+std::vector<Order> Planner::State::takeOrdersToSend(Instant now)
 {
     std::vector<Order> sent;
-    std::set<BackendId> told;
-    for (Order& order : dueOrders(now)) {
+    std::set<BackendId> orderedBackends;
+    for (Order& order : collectDueOrders(now)) {
         Engine& engine = *fleet.find(order.backend);
         const bool unloads = order.kind == OrderKind::UnloadModel;
-        if (told.contains(order.backend) || (!unloads && !mayLoad(engine, order, now))) {
+        if (orderedBackends.contains(order.backend) || (!unloads && !mayLoad(engine, order, now))) {
             continue;
         }
         engine.onSent(order.model, now);
-        told.insert(order.backend);
+        orderedBackends.insert(order.backend);
         sent.push_back(std::move(order));
     }
     return sent;
--- a/tests/placement/PlannerTest.cpp
+++ b/tests/placement/PlannerTest.cpp
@@ -117,10 +117,10 @@
         for (int second = 0; second < 60; ++second) {
             world.planner->onUnserved("beta", world.now);
             world.run(1);
-            ASSERT_LE(world.loading(), world.settings.loadsInFlight);
+            ASSERT_LE(world.loading(), world.settings.maxLoadsInFlight);
             inAMinute = world.orders(load).size();
         }
-        EXPECT_LE(inAMinute, world.settings.loadsPerMinute);
+        EXPECT_LE(inAMinute, world.settings.maxLoadsPerMinute);
         EXPECT_EQ(world.sent.front().second.urgency, Urgency::Urgent);
         EXPECT_GE(world.copies("beta"), 1U);
         EXPECT_GE(world.copies("alpha"), 1U);
@@ -161,7 +161,7 @@
     TEST(PlannerTest, TwoBusyModelsDoNotPushEachOtherOut)
     {
         PlannerSettings settings;
-        settings.modelsPerEngine = 1;
+        settings.maxModelsPerEngine = 1;
         EngineWorld world({ { "alpha" }, { "beta" }, {} }, settings);
         world.at(0).running = 10;
         world.at(1).running = 10;
