--- a/tests/placement/EngineWorld.h
+++ b/tests/placement/EngineWorld.h
@@ -15,78 +15,84 @@
 
 using std::chrono::seconds;
 
-/** Engines that obey orders after a while and report each second; the planner plans each second. */
+/** Simulates engines that carry out orders after `loadTime` and report each second, and a planner run each second. */
 class EngineWorld {
 public:
-    struct Machine {
+    struct EngineState {
         std::set<std::string> models;
+        /** By model: when its load ends. */
         std::map<std::string, Instant> loading;
         std::uint32_t running = 0;
         std::uint32_t waiting = 0;
         std::uint64_t generation = 1;
         bool up = true;
-        bool deaf = false;
+        /** True: orders are accepted but not carried out. */
+        bool ignoresOrders = false;
+        /** True: orders are refused. */
         bool refuses = false;
     };
 
-    explicit EngineWorld(std::vector<std::set<std::string>> engines, PlannerSettings given = {})
+    explicit EngineWorld(std::vector<std::set<std::string>> initialModels, PlannerSettings given = {})
         : settings(given)
     {
-        for (std::size_t index = 0; index < engines.size(); ++index) {
-            machines[nameOf(index)].models = std::move(engines[index]);
+        for (std::size_t index = 0; index < initialModels.size(); ++index) {
+            engines[backendId(index)].models = std::move(initialModels[index]);
         }
-        takeOver();
+        replacePlanner();
     }
 
-    [[nodiscard]] static BackendId nameOf(std::size_t index)
+    [[nodiscard]] static BackendId backendId(std::size_t index)
     {
         return BackendId { "127.0.0." + std::to_string(index + 1) };
     }
 
-    /** A new holder of the lease, which knows nothing. */
-    void takeOver()
+    /** Replaces the planner by one of a new holder, which has no state yet. */
+    void replacePlanner()
     {
         planner.emplace(settings, now);
         Catalogue catalogue;
         for (const char* model : { "alpha", "beta", "gamma", "delta" }) {
-            for (const auto& [backend, machine] : machines) {
+            for (const auto& [backend, engine] : engines) {
                 catalogue[model].push_back(backend);
             }
         }
         planner->setCatalogue(std::move(catalogue));
     }
 
-    [[nodiscard]] Machine& at(std::size_t index) { return machines.at(nameOf(index)); }
+    [[nodiscard]] EngineState& at(std::size_t index) { return engines.at(backendId(index)); }
 
+    /** Runs `count` steps of one second. */
     void run(int count)
     {
         for (int step = 0; step < count; ++step) {
             now += seconds(1);
-            for (auto& [backend, machine] : machines) {
-                report(backend, machine);
+            for (auto& [backend, engine] : engines) {
+                report(backend, engine);
             }
             for (const Order& order : planner->plan(now)) {
-                obey(order);
+                carryOut(order);
             }
         }
     }
 
+    /** @return Number of running engines that have the model. */
     [[nodiscard]] std::uint32_t copies(const std::string& model) const
     {
-        return static_cast<std::uint32_t>(std::count_if(machines.begin(), machines.end(),
+        return static_cast<std::uint32_t>(std::count_if(engines.begin(), engines.end(),
             [&](const auto& entry) { return entry.second.up && entry.second.models.contains(model); }));
     }
 
+    /** @return Number of loads in flight on all engines. */
     [[nodiscard]] std::size_t loading() const
     {
         std::size_t count = 0;
-        for (const auto& [backend, machine] : machines) {
-            count += machine.loading.size();
+        for (const auto& [backend, engine] : engines) {
+            count += engine.loading.size();
         }
         return count;
     }
 
-    /** @return First orders of this kind, for any model when none is named. */
+    /** @return The orders of this kind, without repetitions; those for all models when `model` is empty. */
     [[nodiscard]] std::vector<Order> orders(OrderKind kind, const std::string& model = "") const
     {
         std::vector<Order> result;
@@ -98,46 +104,48 @@
         return result;
     }
 
+    /** Slots of each engine. */
     static constexpr std::uint32_t slots = 10;
     PlannerSettings settings;
     Instant now {};
     Duration loadTime = seconds(4);
-    std::map<BackendId, Machine> machines;
+    std::map<BackendId, EngineState> engines;
     std::optional<Planner> planner;
+    /** All orders sent, with their times. */
     std::vector<std::pair<Instant, Order>> sent;
 
 private:
-    void report(const BackendId& backend, Machine& machine)
+    void report(const BackendId& backend, EngineState& engine)
     {
-        if (!machine.up) {
+        if (!engine.up) {
             planner->onReportMissed(backend);
             return;
         }
-        for (auto entry = machine.loading.begin(); entry != machine.loading.end();) {
+        for (auto entry = engine.loading.begin(); entry != engine.loading.end();) {
             if (entry->second > now) {
                 ++entry;
                 continue;
             }
-            machine.models.insert(entry->first);
-            entry = machine.loading.erase(entry);
+            engine.models.insert(entry->first);
+            entry = engine.loading.erase(entry);
         }
-        planner->onReport({ backend, machine.running, machine.waiting, slots,
-                              { machine.models.begin(), machine.models.end() }, false, machine.generation },
+        planner->onReport({ backend, engine.running, engine.waiting, slots,
+                              { engine.models.begin(), engine.models.end() }, false, engine.generation },
             now);
     }
 
-    void obey(const Order& order)
+    void carryOut(const Order& order)
     {
         sent.emplace_back(now, order);
-        Machine& machine = machines.at(order.backend);
-        planner->onAnswer(order.backend, !machine.refuses, now);
-        if (machine.deaf || machine.refuses) {
+        EngineState& engine = engines.at(order.backend);
+        planner->onAnswer(order.backend, !engine.refuses, now);
+        if (engine.ignoresOrders || engine.refuses) {
             return;
         }
         if (order.kind == OrderKind::UnloadModel) {
-            machine.models.erase(order.model);
-        } else if (!machine.models.contains(order.model)) {
-            machine.loading.try_emplace(order.model, now + loadTime);
+            engine.models.erase(order.model);
+        } else if (!engine.models.contains(order.model)) {
+            engine.loading.try_emplace(order.model, now + loadTime);
         }
     }
 };
--- a/tests/placement/LeaseWorld.h
+++ b/tests/placement/LeaseWorld.h
@@ -16,16 +16,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Some routers, each with its part in the lease, before one log. Equal seeds give equal runs. */
+/** Simulates routers that compete for the order lease through one log. Equal seeds give equal runs. */
 class LeaseWorld {
 public:
     struct Router {
         std::unique_ptr<OrderLease> lease;
+        /** True while the router's process does nothing. */
         bool frozen = false;
         bool reachesLog = true;
-        std::uint64_t read = 0;
+        /** Offset of the next record to read. */
+        std::uint64_t nextToRead = 0;
         std::vector<LeaseChange> changes;
-        /** Fencing numbers it ordered with, and when. */
+        /** For each step in which the router could issue orders: its fencing number, and when. */
         std::vector<std::pair<std::uint64_t, Instant>> orders;
     };
 
@@ -44,8 +46,10 @@
         return routers.size() - 1;
     }
 
+    /** Appends the claim to the log. */
     void append(const Claim& claim) { log.push_back(encode(claim)); }
 
+    /** Runs all routers that are not frozen, in steps of `step`. */
     void run(Duration duration)
     {
         const Instant end = now + duration;
@@ -53,12 +57,13 @@
             now += step;
             for (Router& router : routers) {
                 if (!router.frozen) {
-                    act(router);
+                    runStep(router);
                 }
             }
         }
     }
 
+    /** @return True when the condition held within `bound`. */
     [[nodiscard]] bool runUntil(const std::function<bool()>& condition, Duration bound = seconds(60))
     {
         const Instant end = now + bound;
@@ -68,7 +73,7 @@
         return condition();
     }
 
-    /** @return Routers that may order now. */
+    /** @return Indices of the routers that may issue orders now. */
     [[nodiscard]] std::vector<std::size_t> holders() const
     {
         std::vector<std::size_t> result;
@@ -84,21 +89,21 @@
     Instant now {};
     std::vector<std::string> log;
     std::vector<Router> routers;
-    /** Appends that are held back; the test lands them itself. */
-    int holdAppends = 0;
-    std::vector<Claim> held;
+    /** Number of next appends to hold back in `heldClaims`; the test appends them itself. */
+    int appendsToHold = 0;
+    std::vector<Claim> heldClaims;
 
 private:
-    void act(Router& router)
+    void runStep(Router& router)
     {
         if (router.reachesLog) {
-            for (; router.read < log.size(); ++router.read) {
-                router.lease->onRecord(Offset { router.read }, decode(log[router.read]), now);
+            for (; router.nextToRead < log.size(); ++router.nextToRead) {
+                router.lease->onRecord(Offset { router.nextToRead }, decode(log[router.nextToRead]), now);
             }
             router.lease->onCaughtUp(now);
         }
         if (const auto claim = router.lease->due(router.reachesLog, now)) {
-            take(router, *claim);
+            appendOrHold(router, *claim);
         }
         for (const LeaseChange& change : router.lease->takeChanges()) {
             router.changes.push_back(change);
@@ -108,11 +113,11 @@
         }
     }
 
-    void take(Router& router, const Claim& claim)
+    void appendOrHold(Router& router, const Claim& claim)
     {
-        if (holdAppends > 0) {
-            --holdAppends;
-            held.push_back(claim);
+        if (appendsToHold > 0) {
+            --appendsToHold;
+            heldClaims.push_back(claim);
             return;
         }
         append(claim);
--- a/tests/placement/OrderLeaseTest.cpp
+++ b/tests/placement/OrderLeaseTest.cpp
@@ -9,7 +9,7 @@
 
     using Holders = std::vector<std::size_t>;
 
-    TEST(OrderLeaseTest, OneOfThreeTakesTheLeaseAndKeepsItsFencingNumber)
+    TEST(OrderLeaseTest, OneOfThreeRoutersTakesTheLeaseAndKeepsItsFencingNumber)
     {
         LeaseWorld world(3);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -20,14 +20,14 @@
             ASSERT_EQ(world.holders(), first);
         }
         EXPECT_EQ(world.routers[first.front()].lease->fencing(), fencing);
-        // One renewal each two seconds: what the log is charged for.
+        // At most one renewal every two seconds, to limit the load on the log.
         EXPECT_LE(world.log.size(), 34U);
     }
 
-    // Symptom: an engine obeys a router that no longer has the lease; two routers' orders undo each other.
-    // Events: the holder freezes; its lease runs out and another takes it; the holder thaws and has read nothing yet.
-    // Cause: a holder that trusts what it last read in place of its own clock.
-    TEST(OrderLeaseTest, FrozenPastItsLeaseAndThawedOrdersNothing)
+    // The holder freezes, its lease runs out and another router takes it. When the first router thaws, it has not read
+    // the new claim yet. If it relied on the last record read rather than on its own clock, both routers would issue
+    // orders that undo each other.
+    TEST(OrderLeaseTest, HolderFrozenPastItsLeaseIssuesNoOrdersAfterThawing)
     {
         LeaseWorld world(2);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -37,7 +37,7 @@
         world.routers[frozen].frozen = true;
         ASSERT_TRUE(world.runUntil([&] { return world.routers[other].lease->mayIssueOrders(world.now); }));
         EXPECT_GT(world.routers[other].lease->fencing(), oldFencing);
-        // Before it reads a single record.
+        // The frozen router has not read any further record yet.
         EXPECT_FALSE(world.routers[frozen].lease->mayIssueOrders(world.now));
         const std::size_t ordered = world.routers[frozen].orders.size();
         world.routers[frozen].frozen = false;
@@ -46,10 +46,9 @@
         EXPECT_EQ(world.holders(), Holders { other });
     }
 
-    // Symptom: two routers order within the same moment.
-    // Events: for every moment of a renewal's cycle, the holder freezes there and thaws at any later moment.
-    // Cause: others that count their wait from before the holder counts its lease.
-    TEST(OrderLeaseTest, NoTwoOrderAtOnceWheneverTheHolderFreezes)
+    // The holder freezes at each point of a renewal cycle and thaws after various times. Two routers could issue orders
+    // at once if the others' wait began before the time from which the holder counts its lease.
+    TEST(OrderLeaseTest, AtMostOneRouterMayIssueOrdersWheneverTheHolderFreezes)
     {
         for (int offset = 0; offset < 40; ++offset) {
             for (const int frozenFor : { 3, 5, 6, 7, 8, 9, 10 }) {
@@ -69,63 +68,61 @@
         }
     }
 
-    // Symptom: two holders after a start.
-    // Events: two candidates that have read the same log claim at the same moment; both appends land.
-    // Cause: a claim that counts because it landed, not because it names the present one.
-    TEST(OrderLeaseTest, OfTwoClaimsThatNameTheSameTheFirstWins)
+    // Two candidates that have read the same log claim at the same moment, and both appends reach the log. There would
+    // be two holders if a claim won by reaching the log rather than by naming the present claim.
+    TEST(OrderLeaseTest, FirstOfTwoClaimsThatReplaceTheSameClaimWins)
     {
         LeaseWorld world(2);
-        world.holdAppends = 2;
-        ASSERT_TRUE(world.runUntil([&] { return world.held.size() == 2; }));
-        world.append(world.held[1]);
-        world.append(world.held[0]);
+        world.appendsToHold = 2;
+        ASSERT_TRUE(world.runUntil([&] { return world.heldClaims.size() == 2; }));
+        world.append(world.heldClaims[1]);
+        world.append(world.heldClaims[0]);
         world.run(seconds(1));
-        const std::size_t winner = world.held[1].holder.value() - 100;
+        const std::size_t winner = world.heldClaims[1].holder.value() - 100;
         EXPECT_EQ(world.holders(), Holders { winner });
         EXPECT_EQ(world.routers[1 - winner].lease->fencing(), world.routers[winner].lease->fencing());
     }
 
-    // Symptom: the holder loses its lease, or its fencing number jumps, because an answer got lost.
-    // Events: a renewal takes effect, its answer does not come, the holder appends another that names the same claim.
-    // Cause: taking a lost answer for a lost append.
+    // A renewal reaches the log but its answer is lost, so the holder appends another one that names the same claim. If
+    // a lost answer were taken for a lost append, the holder would lose its lease or its fencing number would jump.
     TEST(OrderLeaseTest, LostAppendAnswerChangesNothing)
     {
         LeaseWorld world(2);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
         const Holders first = world.holders();
         const std::uint64_t fencing = world.routers[first.front()].lease->fencing();
-        world.holdAppends = 1;
-        ASSERT_TRUE(world.runUntil([&] { return world.held.size() == 1; }));
-        world.append(world.held.front());
-        world.append(world.held.front());
+        world.appendsToHold = 1;
+        ASSERT_TRUE(world.runUntil([&] { return world.heldClaims.size() == 1; }));
+        world.append(world.heldClaims.front());
+        world.append(world.heldClaims.front());
         world.run(seconds(20));
         EXPECT_EQ(world.holders(), first);
         EXPECT_EQ(world.routers[first.front()].lease->fencing(), fencing);
     }
 
-    // Symptom: a router orders long after its claim, while another has the lease.
-    // Events: an append is held up beyond the lease time, then lands and wins.
-    // Cause: counting the lease from when the claim was read, not from when it was sent.
-    TEST(OrderLeaseTest, ClaimThatLandsLateGivesNoLease)
+    // An append is delayed beyond the lease time, then reaches the log and wins. If the lease counted from when the
+    // claim was read rather than sent, the router would issue orders while another one has the lease.
+    TEST(OrderLeaseTest, ClaimThatReachesTheLogLateGivesNoLease)
     {
         LeaseWorld world(1);
-        world.holdAppends = 100;
-        ASSERT_TRUE(world.runUntil([&] { return !world.held.empty(); }));
-        const Claim late = world.held.front();
+        world.appendsToHold = 100;
+        ASSERT_TRUE(world.runUntil([&] { return !world.heldClaims.empty(); }));
+        const Claim late = world.heldClaims.front();
         world.run(seconds(20));
         world.append(late);
         world.run(LeaseWorld::step);
         EXPECT_EQ(world.routers[0].lease->fencing(), 1U);
         EXPECT_TRUE(world.holders().empty());
-        world.holdAppends = 0;
+        world.appendsToHold = 0;
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
-        EXPECT_EQ(world.routers[0].lease->fencing(), 1U) << "nobody else came between: the tenure goes on";
+        EXPECT_EQ(world.routers[0].lease->fencing(), 1U)
+            << "the lease term goes on, as no other router claimed in between";
     }
 
-    // Symptom: orders from a router that can't know whether it still has the lease; or none ever after an outage.
-    // Events: the log is out of everybody's reach for a minute, then back.
-    // Cause: a holder that renews by its own word; or one that waits for an answer that never comes.
-    TEST(OrderLeaseTest, LogOutageEndsAllOrdersAndAHolderReturns)
+    // No router reaches the log for a minute. A holder that extended its lease without the log would issue orders
+    // although it can't know whether it still holds the lease. A router that waited without limit for a lost answer
+    // would never claim again after the outage.
+    TEST(OrderLeaseTest, LogOutageEndsAllOrdersAndAHolderReturnsAfterwards)
     {
         LeaseWorld world(3);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -145,10 +142,9 @@
         EXPECT_EQ(world.holders().size(), 1U);
     }
 
-    // Symptom: a holder goes on ordering although an engine has seen a later holder.
-    // Events: an engine answers 409 with a higher fencing number before the log tells of the new holder.
-    // Cause: waiting for the log to say what an engine has proved.
-    TEST(OrderLeaseTest, StaleAnswerEndsTheTenureAndTheNextHasAHigherNumber)
+    // An engine answers 409 with a higher fencing number before the holder reads the new holder's claim from the log.
+    // The holder has to stop issuing orders at once, without waiting for the log.
+    TEST(OrderLeaseTest, StaleAnswerEndsTheLeaseTermAndTheNextHasAHigherFencingNumber)
     {
         LeaseWorld world(1);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -156,7 +152,7 @@
         OrderLease& lease = *world.routers[0].lease;
         const std::uint64_t fencing = lease.fencing();
         lease.onStale(fencing);
-        EXPECT_TRUE(lease.mayIssueOrders(world.now)) << "its own number is not stale";
+        EXPECT_TRUE(lease.mayIssueOrders(world.now)) << "the own fencing number must not end the lease term";
         lease.onStale(fencing + 1);
         EXPECT_FALSE(lease.mayIssueOrders(world.now));
         world.run(seconds(7));
@@ -165,28 +161,27 @@
         EXPECT_GT(lease.fencing(), fencing + 1);
     }
 
-    // Symptom: two routers order for some seconds.
-    // Events: a renewal is held up for most of the lease time before it lands; by then the others' wait, which ended
-    // with the claim before it, has let one of them claim.
-    // Cause: as above, with an append that is late but not too late to count.
-    TEST(OrderLeaseTest, LateRenewalHoldsFromWhenItWasSent)
+    // A renewal reaches the log only after most of the lease time. By then the other routers' wait, counted from the
+    // claim before, may have let one of them claim. If the lease counted from when the renewal was read, two routers
+    // would issue orders for some seconds.
+    TEST(OrderLeaseTest, LateRenewalExtendsTheLeaseFromWhenItWasSent)
     {
         LeaseWorld world(1);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
-        world.holdAppends = 100;
-        ASSERT_TRUE(world.runUntil([&] { return world.held.size() == 1; }));
+        world.appendsToHold = 100;
+        ASSERT_TRUE(world.runUntil([&] { return world.heldClaims.size() == 1; }));
         const Instant sent = world.now;
         world.run(seconds(5));
-        world.append(world.held.front());
+        world.append(world.heldClaims.front());
         world.run(LeaseWorld::step);
         EXPECT_EQ(world.routers[0].lease->until(), sent + LeaseSettings {}.leaseTime);
     }
 
-    // Symptom: after the log dropped old records, a fresh router takes a claim for the winner that has lost.
-    // Events: in the first history B names what it could read and loses to A; in the second a reader without the first
-    // records can't judge A's renewal at 3, and C's blind claim at 4, which names what is before it, loses.
-    // Cause: judging a claim without the records that it was written on.
-    TEST(OrderLeaseTest, ReaderWithoutTheFirstRecordsComesToTheSameTenure)
+    // After the log dropped old records, a new router could take a claim that lost for the winner, as it lacks the
+    // records that the claim was based on. In the history `raced`, a's renewal at offset 3 names the same record as b's
+    // claim at offset 2 and loses to that claim. In the history `blind`, a reader without the first records can't decide
+    // about a's renewal at offset 3, and c's claim at offset 4, which names the record before that renewal, loses.
+    TEST(OrderLeaseTest, ReaderWithoutTheFirstRecordsComputesTheSameLeaseTerm)
     {
         const Incarnation a { 1 };
         const Incarnation b { 2 };
@@ -218,10 +213,10 @@
         }
     }
 
-    // Symptom: nobody ever orders again in a domain that was cut off longer than the log keeps records.
-    // Events: all claims expire; a fresh router reads an empty stream that does not begin at 0.
-    // Cause: a claim can't name a record that nobody can read.
-    TEST(OrderLeaseTest, EverythingExpiredIsClaimedAfterTheWholeWait)
+    // A failure domain was cut off for longer than the log keeps records. All claims have expired, and a new router
+    // reads an empty stream that does not begin at 0. If a claim had to name a record that can still be read, no router
+    // could issue orders in this failure domain again.
+    TEST(OrderLeaseTest, LeaseIsClaimedAfterTheWholeWaitWhenAllRecordsHaveExpired)
     {
         OrderLease lease(Incarnation { 7 }, LeaseSettings {}, 1);
         Instant now {};
@@ -236,10 +231,9 @@
         EXPECT_EQ(lease.fencing(), 41U);
     }
 
-    // Symptom: a router of an older release orders by rules that no longer hold.
-    // Events: a newer release appends a record of later rules.
-    // Cause: skipping what can't be understood.
-    TEST(OrderLeaseTest, LaterRulesEndItsOrders)
+    // A newer release appends a record of a later rules version. If a router of an older release skipped that record,
+    // it would issue orders by rules that no longer hold.
+    TEST(OrderLeaseTest, RecordOfLaterRulesEndsTheRoutersOrders)
     {
         LeaseWorld world(1);
         ASSERT_TRUE(world.runUntil([&] { return !world.holders().empty(); }));
@@ -248,7 +242,7 @@
         EXPECT_FALSE(world.routers[0].lease->due(true, world.now + seconds(30)));
     }
 
-    TEST(OrderLeaseTest, RecordsComeBackAsTheyWere)
+    TEST(OrderLeaseTest, EncodedRecordsDecodeToTheSameValues)
     {
         const Claim claim { Incarnation { 5 }, 6, 7, 8 };
         EXPECT_EQ(std::get<Claim>(decode(encode(claim))), claim);
--- a/tests/placement/PlannerTest.cpp
+++ b/tests/placement/PlannerTest.cpp
@@ -9,7 +9,7 @@
     constexpr auto load = OrderKind::LoadModel;
     constexpr auto unload = OrderKind::UnloadModel;
 
-    TEST(PlannerTest, ModelThatNoEngineHasIsLoadedOnTheLeastLoadedAtOnce)
+    TEST(PlannerTest, UnservedModelIsLoadedAtOnceOnTheLeastLoadedEngine)
     {
         EngineWorld world({ { "alpha" }, { "alpha" }, { "alpha" } });
         world.at(0).running = 4;
@@ -21,7 +21,7 @@
         world.run(1);
         ASSERT_EQ(world.sent.size(), 1U);
         const Order& order = world.sent.front().second;
-        EXPECT_EQ(order.backend, EngineWorld::nameOf(1));
+        EXPECT_EQ(order.backend, EngineWorld::backendId(1));
         EXPECT_EQ(order.urgency, Urgency::Urgent);
         EXPECT_EQ(order.reason, OrderReason::Unserved);
         EXPECT_EQ(order.unserved, 1U);
@@ -31,7 +31,7 @@
         EXPECT_EQ(world.copies("beta"), 1U);
     }
 
-    TEST(PlannerTest, NothingIsOrderedBeforeTheReportsAreIn)
+    TEST(PlannerTest, NothingIsOrderedDuringWarmUp)
     {
         EngineWorld world({ Models { "alpha" } });
         world.planner->onUnserved("beta", world.now);
@@ -41,10 +41,10 @@
         EXPECT_EQ(world.orders(load, "beta").size(), 1U);
     }
 
-    // Symptom: a service is refused everywhere because another's flood took its only engine.
-    // Events: engines are full of models; requests for a new one flood in, while the old ones are in use.
-    // Cause: making room without looking at who asks for what goes.
-    TEST(PlannerTest, FloodOfDemandDoesNotUnloadALastCopyInUse)
+    // The engines are full of models in use, and many requests for another model arrive. If room were made without
+    // regard to the demand for the unloaded model, a service would lose its only engine and its requests would be
+    // refused.
+    TEST(PlannerTest, BurstOfDemandDoesNotUnloadALastCopyInUse)
     {
         EngineWorld world({ { "alpha", "beta" }, { "gamma", "alpha" } });
         world.at(0).running = 1;
@@ -57,30 +57,29 @@
             ASSERT_EQ(world.copies("beta"), 1U);
             ASSERT_EQ(world.copies("gamma"), 1U);
         }
-        // The second copy of alpha made room.
+        // The second copy of alpha was unloaded to make room.
         EXPECT_EQ(world.copies("delta"), 1U);
         EXPECT_EQ(world.orders(unload).size(), 1U);
     }
 
-    // Symptom: as above, by an engine's death.
-    // Events: one of two copies is to go; before the order, the engine with the other one dies.
-    // Cause: an unload that was safe when it was decided and is not any more.
-    TEST(PlannerTest, UnloadIsCancelledWhenTheOtherCopyDies)
+    // One of two copies is to be unloaded. Before the order is carried out, the engine with the other copy fails. The
+    // unload was safe when it was decided, but would now remove the last copy.
+    TEST(PlannerTest, UnloadIsCancelledWhenTheEngineWithTheOtherCopyFails)
     {
         EngineWorld world({ { "alpha", "beta" }, { "alpha", "gamma" } });
         world.at(0).running = 1;
         world.at(1).running = 1;
         world.run(10);
-        for (auto& [backend, machine] : world.machines) {
-            machine.deaf = true;
+        for (auto& [backend, engine] : world.engines) {
+            engine.ignoresOrders = true;
         }
         world.planner->onUnserved("delta", world.now);
         world.run(1);
         ASSERT_EQ(world.orders(unload, "alpha").size(), 1U);
-        const BackendId loser = world.orders(unload).front().backend;
-        for (auto& [backend, machine] : world.machines) {
-            machine.deaf = false;
-            machine.up = backend == loser;
+        const BackendId unloading = world.orders(unload).front().backend;
+        for (auto& [backend, engine] : world.engines) {
+            engine.ignoresOrders = false;
+            engine.up = backend == unloading;
         }
         world.run(60);
         EXPECT_EQ(world.copies("alpha"), 1U);
@@ -91,7 +90,7 @@
         EXPECT_EQ(world.planner->blocked().front().model, "delta");
     }
 
-    TEST(PlannerTest, LastCopyThatNobodyAsksForMakesRoom)
+    TEST(PlannerTest, LastCopyWithoutDemandIsUnloadedToMakeRoom)
     {
         EngineWorld world({ Models { "alpha", "beta" } });
         world.run(100);
@@ -101,34 +100,33 @@
         EXPECT_EQ(world.at(0).models.size(), 2U);
     }
 
-    // Symptom: the weight store is overrun and every load is slow.
-    // Events: forty engines lose their models at once, and requests find none.
-    // Cause: each load ordered as if it were alone.
-    TEST(PlannerTest, LoadsKeepTheWeightStoresRateAndUrgentOnesComeFirst)
+    // Forty engines lose their models at once, and requests find no engine. If each load were ordered regardless of the
+    // others, the weight store would be overloaded and every load slow.
+    TEST(PlannerTest, LoadsStayWithinTheLimitsAndUrgentOnesComeFirst)
     {
         EngineWorld world(std::vector<std::set<std::string>>(40, { "alpha" }));
         world.run(5);
-        for (auto& [backend, machine] : world.machines) {
-            machine.models.clear();
-            machine.running = 1;
-            ++machine.generation;
+        for (auto& [backend, engine] : world.engines) {
+            engine.models.clear();
+            engine.running = 1;
+            ++engine.generation;
         }
-        std::size_t inAMinute = 0;
+        std::size_t loadsOrdered = 0;
         for (int second = 0; second < 60; ++second) {
             world.planner->onUnserved("beta", world.now);
             world.run(1);
             ASSERT_LE(world.loading(), world.settings.maxLoadsInFlight);
-            inAMinute = world.orders(load).size();
+            loadsOrdered = world.orders(load).size();
         }
-        EXPECT_LE(inAMinute, world.settings.maxLoadsPerMinute);
+        EXPECT_LE(loadsOrdered, world.settings.maxLoadsPerMinute);
         EXPECT_EQ(world.sent.front().second.urgency, Urgency::Urgent);
         EXPECT_GE(world.copies("beta"), 1U);
         EXPECT_GE(world.copies("alpha"), 1U);
         world.run(1200);
-        EXPECT_EQ(world.copies("alpha"), 40U) << "every engine gets back what it had";
+        EXPECT_EQ(world.copies("alpha"), 40U) << "every engine must get back the model it had";
     }
 
-    TEST(PlannerTest, BusyModelGetsOneMoreEngineAfterAWhile)
+    TEST(PlannerTest, BusyModelIsLoadedOnOneMoreEngineAfterMinBusyTime)
     {
         EngineWorld world({ { "alpha" }, { "beta" } });
         world.at(0).running = 10;
@@ -140,10 +138,9 @@
         EXPECT_EQ(world.copies("alpha"), 2U);
     }
 
-    // Symptom: models come and go, and the engines load instead of answering.
-    // Events: load swings about the limit every few seconds, between two models that share full engines.
-    // Cause: each swing taken for a trend.
-    TEST(PlannerTest, SwingingLoadMovesNoModels)
+    // The load oscillates around the limit every few seconds, between models that share full engines. If each swing
+    // were taken for a trend, models would be moved all the time and engines would load instead of serving requests.
+    TEST(PlannerTest, OscillatingLoadMovesNoModels)
     {
         EngineWorld world({ { "alpha", "beta" }, { "alpha", "beta" }, { "gamma", "delta" } });
         for (int swing = 0; swing < 120; ++swing) {
@@ -155,10 +152,9 @@
         EXPECT_TRUE(world.sent.empty());
     }
 
-    // Symptom: two busy models push each other out of the spare engine for ever.
-    // Events: both are steadily nearly full; the spare engine has room for one only.
-    // Cause: making room for one from the other's new copy.
-    TEST(PlannerTest, TwoBusyModelsDoNotPushEachOtherOut)
+    // Two models are constantly nearly full, and the spare engine has room for only one. If the new copy of one model
+    // could be unloaded to make room for the other, the two would displace each other for ever.
+    TEST(PlannerTest, TwoBusyModelsDoNotDisplaceEachOther)
     {
         PlannerSettings settings;
         settings.maxModelsPerEngine = 1;
@@ -170,19 +166,18 @@
         EXPECT_TRUE(world.orders(unload).empty());
     }
 
-    // Symptom: a model stays away although it was ordered.
-    // Events: the engine does not hear the order; it hears the next one.
-    // Cause: an order given once.
-    TEST(PlannerTest, OrderIsAssertedUntilReported)
+    // The engine does not carry out the first orders but a later one. If an order were sent only once, the model would
+    // never be loaded.
+    TEST(PlannerTest, OrderIsSentAgainUntilReported)
     {
         EngineWorld world({ Models { "alpha" } });
-        world.at(0).deaf = true;
+        world.at(0).ignoresOrders = true;
         world.run(4);
         world.planner->onUnserved("beta", world.now);
         world.run(12);
         EXPECT_GE(world.sent.size(), 3U);
-        EXPECT_EQ(world.orders(load).size(), 1U) << "one load of the rate";
-        world.at(0).deaf = false;
+        EXPECT_EQ(world.orders(load).size(), 1U) << "an order sent again must count as one load";
+        world.at(0).ignoresOrders = false;
         world.run(12);
         EXPECT_EQ(world.copies("beta"), 1U);
         const std::size_t sent = world.sent.size();
@@ -190,7 +185,7 @@
         EXPECT_EQ(world.sent.size(), sent);
     }
 
-    TEST(PlannerTest, EngineThatRefusesIsGivenUpForAnother)
+    TEST(PlannerTest, LoadThatAnEngineRefusesIsPlacedOnAnother)
     {
         EngineWorld world({ { "alpha" }, { "alpha" } });
         world.at(0).refuses = true;
@@ -204,31 +199,30 @@
         EXPECT_TRUE(world.at(1).models.contains("beta"));
     }
 
-    // Symptom: an engine that ignores fencing numbers stays as a former holder's late orders left it.
-    // Events: after the change of holders, a late unload takes a model away, and a late load overfills an engine.
-    // Cause: orders given once, by whoever comes first.
+    // After a change of holders, a late unload removes a model from an engine that ignores fencing numbers, and a late
+    // load overfills another one. If the planner sent orders once without comparing reports with the desired state, the
+    // engines would stay like that.
     TEST(PlannerTest, LateOrdersOfAFormerHolderAreUndone)
     {
         EngineWorld world({ { "alpha", "beta" }, { "alpha", "beta" } });
         world.at(0).running = 1;
         world.at(1).running = 1;
         world.run(10);
-        world.takeOver();
+        world.replacePlanner();
         world.run(5);
         world.at(0).models.erase("alpha");
         world.run(15);
         EXPECT_TRUE(world.at(0).models.contains("alpha"));
         world.at(1).models.insert("gamma");
         world.run(5);
-        EXPECT_EQ(world.at(1).models.size(), 2U) << "overfull: one of its models that others keep went";
+        EXPECT_EQ(world.at(1).models.size(), 2U) << "the overfull engine must unload a model that another engine keeps";
         world.run(60);
         EXPECT_GE(world.copies("alpha"), 1U);
         EXPECT_GE(world.copies("beta"), 1U);
     }
 
-    // Symptom: a new holder loads again what is there already, or unloads what the last one loaded.
-    // Events: the holder dies while its load is under way; the load ends in the next one's tenure.
-    // Cause: a wished state that only its maker knows.
+    // The holder fails while its load is in flight, and the load ends in the next lease term. A new holder that did not
+    // adopt the reported models as its desired state would load the model again or unload it.
     TEST(PlannerTest, LoadOfAFormerHolderIsAdopted)
     {
         EngineWorld world({ { "alpha" }, { "alpha" } });
@@ -237,7 +231,7 @@
         world.planner->onUnserved("beta", world.now);
         world.run(1);
         ASSERT_EQ(world.loading(), 1U);
-        world.takeOver();
+        world.replacePlanner();
         world.run(120);
         EXPECT_EQ(world.copies("beta"), 1U);
         EXPECT_EQ(world.sent.size(), 1U);
