--- a/src/placement/Fleet.cpp
+++ b/src/placement/EngineSet.cpp
@@ -1,4 +1,4 @@
-#include "placement/Fleet.h"
+#include "placement/EngineSet.h"
 
 #include <algorithm>
 #include <set>
@@ -7,7 +7,7 @@
 
 namespace swiftlift::placement {
 
-void Fleet::setCatalogue(Catalogue catalogue)
+void EngineSet::setCatalogue(Catalogue catalogue)
 {
     catalogue_ = std::move(catalogue);
     std::set<BackendId> listed;
@@ -21,19 +21,19 @@
     }
 }
 
-Engine* Fleet::find(const BackendId& backend)
+Engine* EngineSet::find(const BackendId& backend)
 {
     const auto found = engines_.find(backend);
     return found == engines_.end() ? nullptr : &found->second;
 }
 
-bool Fleet::isListed(const std::string& model, const BackendId& backend) const
+bool EngineSet::isListed(const std::string& model, const BackendId& backend) const
 {
     const auto found = catalogue_.find(model);
     return found != catalogue_.end() && std::binary_search(found->second.begin(), found->second.end(), backend);
 }
 
-template <typename Visit> void Fleet::forEach(const std::string& model, Instant now, Visit visit) const
+template <typename Visit> void EngineSet::forEach(const std::string& model, Instant now, Visit visit) const
 {
     const auto found = catalogue_.find(model);
     if (found == catalogue_.end()) {
@@ -46,7 +46,7 @@
     }
 }
 
-double Fleet::utilisation(const std::string& model, Instant now, const BackendId& except) const
+double EngineSet::utilisation(const std::string& model, Instant now, const BackendId& except) const
 {
     std::uint64_t requests = 0;
     std::uint64_t slots = 0;
@@ -59,21 +59,21 @@
     return slots == 0 ? 0 : static_cast<double>(requests) / static_cast<double>(slots);
 }
 
-std::uint32_t Fleet::copies(const std::string& model, Instant now) const
+std::uint32_t EngineSet::copies(const std::string& model, Instant now) const
 {
     std::uint32_t count = 0;
     forEach(model, now, [&](const BackendId&, const Engine& engine) { count += engine.reports(model) ? 1 : 0; });
     return count;
 }
 
-bool Fleet::isDesired(const std::string& model, Instant now) const
+bool EngineSet::isDesired(const std::string& model, Instant now) const
 {
     bool found = false;
     forEach(model, now, [&](const BackendId&, const Engine& engine) { found = found || engine.isDesired(model); });
     return found;
 }
 
-bool Fleet::mayUnload(const std::string& model, const BackendId& backend, Instant now) const
+bool EngineSet::mayUnload(const std::string& model, const BackendId& backend, Instant now) const
 {
     bool copyRemains = false;
     forEach(model, now, [&](const BackendId& other, const Engine& engine) {
@@ -82,7 +82,7 @@
     return copyRemains || !demand_->hasDemand(model, now);
 }
 
-std::uint32_t Fleet::loadsInFlight(Instant now) const
+std::uint32_t EngineSet::loadsInFlight(Instant now) const
 {
     std::uint32_t count = 0;
     for (const auto& [backend, engine] : engines_) {
@@ -91,7 +91,7 @@
     return count;
 }
 
-std::string Fleet::chooseVictim(const BackendId& backend, const Engine& engine, Instant now) const
+std::string EngineSet::chooseVictim(const BackendId& backend, const Engine& engine, Instant now) const
 {
     std::optional<std::tuple<bool, double, std::string>> best;
     for (const auto& [model, since] : engine.desiredModels()) {
@@ -108,7 +108,8 @@
     return best ? std::get<std::string>(*best) : std::string {};
 }
 
-std::optional<LoadTarget> Fleet::chooseTarget(const std::string& model, std::optional<double> below, Instant now) const
+std::optional<LoadTarget> EngineSet::chooseTarget(
+    const std::string& model, std::optional<double> below, Instant now) const
 {
     // Engines with room come first, then those with the lowest utilisation, then those with the fewest models.
     std::optional<std::tuple<bool, double, std::size_t, BackendId, std::string>> best;
--- a/src/placement/Fleet.h
+++ b/src/placement/EngineSet.h
@@ -19,9 +19,9 @@
 };
 
 /** The engines of the failure domain, with the figures and choices that span several engines. */
-class Fleet {
+class EngineSet {
 public:
-    Fleet(const PlannerSettings& settings, const ModelDemand& demand)
+    EngineSet(const PlannerSettings& settings, const ModelDemand& demand)
         : settings_(&settings)
         , demand_(&demand)
     {
--- a/src/placement/Planner.cpp
+++ b/src/placement/Planner.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "placement/Engine.h"
-#include "placement/Fleet.h"
+#include "placement/EngineSet.h"
 #include "placement/LoadPace.h"
 #include "placement/ModelDemand.h"
 
@@ -16,7 +16,7 @@
         : settings(given)
         , startedAt(now)
         , demand(settings, now)
-        , fleet(settings, demand)
+        , engineSet(settings, demand)
         , loadPace(settings)
     {
     }
@@ -29,7 +29,7 @@
     void reconcileMissing(const BackendId& backend, Engine& engine, Instant now);
     /** @brief Unloads or adopts reported models that are not desired on the engine. */
     void reconcileSurplus(const BackendId& backend, Engine& engine, Instant now);
-    /** @brief Places models for which requests found no engine. */
+    /** @brief Places models for which requests found no engine; makes their pending orders urgent. */
     void placeUnserved(Instant now);
     /** @brief Places further copies of models whose engines have been nearly full for long enough. */
     void placeBusy(Instant now);
@@ -48,7 +48,7 @@
     const PlannerSettings settings;
     Instant startedAt;
     ModelDemand demand;
-    Fleet fleet;
+    EngineSet engineSet;
     LoadPace loadPace;
     /** By model: when it was last placed on an engine. */
     std::map<std::string, Instant> lastPlacedAt;
@@ -69,18 +69,18 @@
     const auto listed = [&](const std::string& model) { return catalogue.contains(model); };
     state_->demand.eraseUnless(listed);
     std::erase_if(state_->lastPlacedAt, [&](const auto& entry) { return !listed(entry.first); });
-    state_->fleet.setCatalogue(std::move(catalogue));
+    state_->engineSet.setCatalogue(std::move(catalogue));
 }
 
 void Planner::onReport(const EngineReport& report, Instant now)
 {
-    Engine* engine = state_->fleet.find(report.backend);
+    Engine* engine = state_->engineSet.find(report.backend);
     if (engine == nullptr) {
         return;
     }
     engine->onReport(report, now);
     for (const auto& model : report.models) {
-        if (engine->requests() > 0 && state_->fleet.catalogue().contains(model)) {
+        if (engine->requests() > 0 && state_->engineSet.catalogue().contains(model)) {
             state_->demand.onUsed(model, now);
         }
     }
@@ -88,21 +88,21 @@
 
 void Planner::onReportMissed(const BackendId& backend)
 {
-    if (Engine* engine = state_->fleet.find(backend)) {
+    if (Engine* engine = state_->engineSet.find(backend)) {
         engine->onReportMissed();
     }
 }
 
 void Planner::onUnserved(const std::string& model, Instant now)
 {
-    if (state_->fleet.catalogue().contains(model)) {
+    if (state_->engineSet.catalogue().contains(model)) {
         state_->demand.onUnserved(model, now);
     }
 }
 
 void Planner::onAnswer(const BackendId& backend, bool accepted, Instant now)
 {
-    if (Engine* engine = state_->fleet.find(backend)) {
+    if (Engine* engine = state_->engineSet.find(backend)) {
         engine->onAnswer(accepted);
         engine->abandonLoads(now);
     }
@@ -126,14 +126,14 @@
 
 void Planner::State::abandonLoads(Instant now)
 {
-    for (auto& [backend, engine] : fleet.engines()) {
+    for (auto& [backend, engine] : engineSet.engines()) {
         engine.abandonLoads(now);
     }
 }
 
 void Planner::State::reconcile(Instant now)
 {
-    for (auto& [backend, engine] : fleet.engines()) {
+    for (auto& [backend, engine] : engineSet.engines()) {
         if (engine.isUsable(now)) {
             reconcileMissing(backend, engine, now);
             reconcileSurplus(backend, engine, now);
@@ -150,11 +150,11 @@
         }
     }
     for (const auto& model : missing) {
-        if (!fleet.isListed(model, backend) || !engine.hasRoom()) {
+        if (!engineSet.isListed(model, backend) || !engine.hasRoom()) {
             engine.removeDesired(model);
             continue;
         }
-        const bool demandUnmet = fleet.copies(model, now) == 0 && demand.hasDemand(model, now);
+        const bool demandUnmet = engineSet.copies(model, now) == 0 && demand.hasDemand(model, now);
         engine.load(model, demandUnmet ? Urgency::Urgent : Urgency::Convenient, OrderReason::Missing, now);
     }
 }
@@ -168,11 +168,11 @@
         // An engine that does not check fencing numbers can carry out a former holder's late order and then reports a
         // model that is not desired there. The model is unloaded only if the engine is overfull; where there is room,
         // the model does no harm and may be of use.
-        if (engine.isOverfull() && fleet.mayUnload(model, backend, now)) {
+        if (engine.isOverfull() && engineSet.mayUnload(model, backend, now)) {
             engine.unload(model, Urgency::Convenient, OrderReason::Unwanted, now);
             continue;
         }
-        const std::string victim = engine.isOverfull() ? fleet.chooseVictim(backend, engine, now) : std::string {};
+        const std::string victim = engine.isOverfull() ? engineSet.chooseVictim(backend, engine, now) : std::string {};
         engine.addDesired(model, now);
         if (!victim.empty()) {
             engine.unload(victim, Urgency::Convenient, OrderReason::Room, now);
@@ -183,20 +183,20 @@
 void Planner::State::placeUnserved(Instant now)
 {
     std::vector<std::pair<std::uint32_t, std::string>> unservedModels;
-    for (const auto& [model, backends] : fleet.catalogue()) {
+    for (const auto& [model, backends] : engineSet.catalogue()) {
         if (const std::uint32_t unserved = demand.unserved(model, now); unserved > 0) {
             unservedModels.emplace_back(unserved, model);
         }
     }
     std::sort(unservedModels.rbegin(), unservedModels.rend());
     for (const auto& [unserved, model] : unservedModels) {
-        if (fleet.isDesired(model, now)) {
-            for (auto& [backend, engine] : fleet.engines()) {
+        if (engineSet.isDesired(model, now)) {
+            for (auto& [backend, engine] : engineSet.engines()) {
                 engine.makeUrgent(model);
             }
-        } else if (const auto target = fleet.chooseTarget(model, std::nullopt, now)) {
+        } else if (const auto target = engineSet.chooseTarget(model, std::nullopt, now)) {
             placeModel(model, *target, Urgency::Urgent, OrderReason::Unserved, now);
-        } else if (fleet.copies(model, now) == 0) {
+        } else if (engineSet.copies(model, now) == 0) {
             blocked.push_back({ model, unserved });
         }
     }
@@ -204,14 +204,14 @@
 
 void Planner::State::placeBusy(Instant now)
 {
-    for (const auto& [model, backends] : fleet.catalogue()) {
-        demand.noteUtilisation(model, fleet.utilisation(model, now), now);
+    for (const auto& [model, backends] : engineSet.catalogue()) {
+        demand.noteUtilisation(model, engineSet.utilisation(model, now), now);
         const auto last = lastPlacedAt.find(model);
         const bool pausing = last != lastPlacedAt.end() && now < last->second + settings.modelPause;
         if (!demand.isBusyLongEnough(model, now) || pausing) {
             continue;
         }
-        if (const auto target = fleet.chooseTarget(model, settings.roomUtilisation, now)) {
+        if (const auto target = engineSet.chooseTarget(model, settings.roomUtilisation, now)) {
             placeModel(model, *target, Urgency::Convenient, OrderReason::Busy, now);
         }
     }
@@ -220,7 +220,7 @@
 void Planner::State::placeModel(
     const std::string& model, const LoadTarget& target, Urgency urgency, OrderReason reason, Instant now)
 {
-    Engine& engine = *fleet.find(target.backend);
+    Engine& engine = *engineSet.find(target.backend);
     if (!target.victim.empty()) {
         engine.unload(target.victim, urgency, OrderReason::Room, now);
     }
@@ -230,12 +230,12 @@
 
 void Planner::State::cancelUnsafeUnloads(Instant now)
 {
-    for (auto& [backend, engine] : fleet.engines()) {
+    for (auto& [backend, engine] : engineSet.engines()) {
         std::vector<std::string> unsafe;
         for (const auto& [model, order] : engine.pending()) {
             // The engine that was to keep the model can fail between the decision and the order. The unload would then
             // remove the last copy of a model in demand.
-            if (order.kind == OrderKind::UnloadModel && !fleet.mayUnload(model, backend, now)) {
+            if (order.kind == OrderKind::UnloadModel && !engineSet.mayUnload(model, backend, now)) {
                 unsafe.push_back(model);
             }
         }
@@ -248,7 +248,7 @@
 std::vector<Order> Planner::State::collectDueOrders(Instant now)
 {
     std::vector<Order> orders;
-    for (const auto& [backend, engine] : fleet.engines()) {
+    for (const auto& [backend, engine] : engineSet.engines()) {
         if (!engine.isUsable(now)) {
             continue;
         }
@@ -256,7 +256,7 @@
             if (engine.isDue(pending, now)) {
                 orders.push_back(
                     { pending.kind, backend, model, pending.urgency, pending.reason, pending.lastSent.has_value(),
-                        fleet.utilisation(model, now), fleet.copies(model, now), demand.unserved(model, now) });
+                        engineSet.utilisation(model, now), engineSet.copies(model, now), demand.unserved(model, now) });
             }
         }
     }
@@ -271,7 +271,7 @@
     if (order.repeated) {
         return true;
     }
-    if (!engine.hasRoom() || !loadPace.mayStartLoad(order.urgency, fleet.loadsInFlight(now), now)) {
+    if (!engine.hasRoom() || !loadPace.mayStartLoad(order.urgency, engineSet.loadsInFlight(now), now)) {
         return false;
     }
     loadPace.onLoadStarted(now);
@@ -283,7 +283,7 @@
     std::vector<Order> sent;
     std::set<BackendId> orderedBackends;
     for (Order& order : collectDueOrders(now)) {
-        Engine& engine = *fleet.find(order.backend);
+        Engine& engine = *engineSet.find(order.backend);
         const bool unloads = order.kind == OrderKind::UnloadModel;
         if (orderedBackends.contains(order.backend) || (!unloads && !mayLoad(engine, order, now))) {
             continue;
--- a/tests/placement/OrderLeaseTest.cpp
+++ b/tests/placement/OrderLeaseTest.cpp
@@ -179,8 +179,9 @@
 
     // After the log dropped old records, a new router could take a claim that lost for the winner, as it lacks the
     // records that the claim was based on. In the history `raced`, a's renewal at offset 3 names the same record as b's
-    // claim at offset 2 and loses to that claim. In the history `blind`, a reader without the first records can't decide
-    // about a's renewal at offset 3, and c's claim at offset 4, which names the record before that renewal, loses.
+    // claim at offset 2 and loses to that claim. In the history `blind`, a reader without the first records can't
+    // decide about a's renewal at offset 3, and c's claim at offset 4, which names the record before that renewal,
+    // loses.
     TEST(OrderLeaseTest, ReaderWithoutTheFirstRecordsComputesTheSameLeaseTerm)
     {
         const Incarnation a { 1 };
