--- a/include/swiftlift/ledger/CheckpointSchedule.h
+++ b/include/swiftlift/ledger/CheckpointSchedule.h
@@ -9,35 +9,38 @@
 namespace swiftlift::ledger {
 
 /**
- * @brief When it is this router's turn to keep a checkpoint, where nobody reads the others' and so nobody knows of
- * them.
+ * @brief Decides when this router writes a checkpoint, without knowledge of the other routers' checkpoints.
  *
- * What goes wrong with turns at fixed times: routers that start together all keep one within seconds, and then none for
- * as long as a whole round takes, 160 s with 81 routers. One that starts anew meanwhile reads the ledger from its
- * beginning: 15,000 records, 4.5 s on a tenth of a core, during which it serves nobody. One notices by `restored` lines
- * whose `as_of` is far behind. Drawn at random, the first over one round and each later one over two, turns of the
- * fleet come an interval apart in the mean from the start on.
+ * The first delay is drawn at random from one round (`interval` times the number of routers), and each later delay from
+ * two rounds. The checkpoints of the fleet are thus one interval apart on average from the start.
+ *
+ * With fixed delays, routers that start together would all write a checkpoint within seconds, and none for the rest of
+ * the round, 160 s with 81 routers. A router that restarts in that time reads the ledger from its beginning: 15,000
+ * records, which take 4.5 s on a tenth of a core, during which the router serves no requests. The symptom is a
+ * `restored` log line with an `as_of` far behind the end of the log.
  */
 class CheckpointSchedule {
 public:
     /**
-     * @param interval Between two checkpoints of the fleet.
-     * @param seed Of the draws.
+     * @param interval Mean time between two checkpoints of the fleet.
+     * @param seed Seed of the random delays.
      */
     CheckpointSchedule(Duration interval, std::uint64_t seed);
 
     /**
-     * @param routers Of the fleet, as far as is known; at least 1.
-     * @return Whether to keep one now; then the next turn has been drawn.
+     * @param now Current time.
+     * @param routers Known number of routers in the fleet; at least 1.
+     * @return Whether a checkpoint is due now. If so, the time of the next checkpoint has been drawn.
      */
     [[nodiscard]] bool due(Instant now, std::uint32_t routers);
 
 private:
-    [[nodiscard]] Instant draw(Instant now, Duration longest);
+    /** @return A random time between `now` and `now + maxDelay`. */
+    [[nodiscard]] Instant drawDueTime(Instant now, Duration maxDelay);
 
     Duration interval_;
     std::mt19937_64 random_;
-    std::optional<Instant> next_;
+    std::optional<Instant> nextDue_;
 };
 
 } // namespace swiftlift::ledger
--- a/include/swiftlift/ledger/Outbox.h
+++ b/include/swiftlift/ledger/Outbox.h
@@ -14,92 +14,105 @@
 namespace swiftlift::ledger {
 
 /**
- * @brief Collects the entries of one author for one stream, with one append in flight at most.
+ * @brief Queues the entries of one author for one ledger stream and hands them out in batches, with at most one append
+ * in flight.
  *
- * An append whose answer was lost may have landed, or may land later. Its batch is therefore frozen: it is appended
- * again, the very same, until all of its items have been read back. Items that land twice are ignored by the fold.
+ * An append whose response was lost may be in the log already, or may reach it later. Its batch is therefore frozen:
+ * the identical batch is appended again until all of its items have landed, that is, have been read back from the
+ * stream. The fold ignores items that land twice.
  */
 class Outbox {
 public:
     /**
-     * Most bytes of a batch, by sizeBound(). Half of the smallest record that a log has to take (256 KB): some 1,500
-     * bills, what a router with 190 requests a second gathers in an outage of 8 s. With 256 items a batch, each read
-     * back before the next, a draw stood for 2 to 3 s behind the bills of such an outage.
+     * Maximum bytes of a batch, counted by maxEncodedBytes(): half of the 256 KB that every log has to accept as a
+     * record. A batch takes some 1,500 bills, as many as a router with 190 requests a second produces in a log outage
+     * of 8 s. With batches of 256 items, each read back before the next, a draw waited 2 to 3 s behind the bills of
+     * such an outage.
      */
     static constexpr std::size_t maxBatchBytes = 128 * 1024;
-    /** Most items that are copied to a peer at once; bills of a second and a half, in one message of 16 KB. */
+    /** Maximum items in one message of copies to a peer: the bills of 1.5 s in some 16 KB. */
     static constexpr std::size_t maxCopyItems = 256;
-    /** First wait before a batch is appended again; it doubles with each further time. */
-    static constexpr Duration firstRetry = std::chrono::milliseconds { 200 };
-    static constexpr Duration longestRetry = std::chrono::seconds { 2 };
+    /** Delay before the first retry of an append. The delay doubles with each further retry, up to `maxRetryDelay`. */
+    static constexpr Duration initialRetryDelay = std::chrono::milliseconds { 200 };
+    static constexpr Duration maxRetryDelay = std::chrono::seconds { 2 };
 
-    /** @param self The author. */
+    /** @param self Author of all entries. */
     explicit Outbox(Incarnation self);
 
     /**
-     * @brief Adds an entry behind those that wait.
-     * @return The sequence of its item.
+     * @brief Adds an entry at the end of the queue.
+     * @return Sequence of the entry's item.
      */
     std::uint64_t add(Entry entry);
 
     /**
-     * @param now Present moment.
-     * @return A new batch when none is in flight, the frozen one again when its retry is due; nothing otherwise.
+     * @brief Returns the batch that has to be appended now and counts it as in flight.
+     * @param now Current time.
+     * @return A new batch when none is in flight and the queue is not empty; the batch in flight when its retry is due;
+     * `std::nullopt` otherwise.
      */
     [[nodiscard]] std::optional<Batch> next(Instant now);
 
-    /** @brief The append failed or timed out. It may land all the same, so it is made again after a wait. */
+    /** @brief Handles an append that failed or timed out. The append may still land, so the same batch is retried. */
     void onFailure(Instant now);
 
     /**
-     * @brief The log answers again after an outage: what failed meanwhile is appended again at once.
+     * @brief Handles the end of a log outage: a failed append becomes due for retry at once.
      *
-     * Otherwise it would wait for up to `longestRetry` while callers are refused for a draw that stands behind it.
+     * Without this, the retry waits up to `maxRetryDelay`, and requests are refused because a draw is queued behind it.
      */
     void onReachable(Instant now);
 
-    /** @brief The append was answered. It counts only once read back, which is given the longest wait. */
+    /**
+     * @brief Handles the response to an append. The batch stays in flight until its items are read back, for which they
+     * have `maxRetryDelay` before the batch is appended again.
+     */
     void onAnswered(Instant now);
 
     /**
-     * @brief An item was read back from the stream; it and its predecessors need no append any more, also when a peer
-     * that keeps copies of them has appended them before they were sent from here.
+     * @brief Handles an item that was read back from the stream: the item and its predecessors need no further append.
+     * This includes queued items that a replica has appended from its copies.
      */
     void onLanded(const Landed& landed, Instant now);
 
-    /** @return Whether every item has landed. */
+    /** @return Whether all items have landed. */
     [[nodiscard]] bool empty() const noexcept;
 
-    /** @return How many items have not landed. */
+    /** @return Number of items that have not landed. */
     [[nodiscard]] std::size_t pending() const noexcept;
 
-    /** @return The latest sequence given out; 0 before the first. */
+    /** @return Sequence of the item added last; 0 when none was added. */
     [[nodiscard]] std::uint64_t lastSequence() const noexcept { return lastSequence_; }
 
-    /** @return Items behind `sequence` that have not landed, in order, at most `maxCopyItems`; copies for a peer. */
+    /**
+     * @param sequence Sequence of the last item that the peer has.
+     * @return The items after `sequence` that have not landed, in order, at most `maxCopyItems`, to be copied to the
+     * peer.
+     */
     [[nodiscard]] Batch copyAfter(std::uint64_t sequence) const;
 
-    /** @return When `next` has to be asked again; nothing when only an event changes its answer. */
+    /** @return Time at which the batch in flight is due for retry; `std::nullopt` when no batch is in flight. */
     [[nodiscard]] std::optional<Instant> wakeAt() const noexcept;
 
-    /** @return At least as many bytes as the item takes in an encoded batch. */
-    [[nodiscard]] static std::size_t sizeBound(const Item& item) noexcept;
+    /** @return Upper bound of the bytes that the item takes in an encoded batch. */
+    [[nodiscard]] static std::size_t maxEncodedBytes(const Item& item) noexcept;
 
 private:
-    [[nodiscard]] Batch freeze();
+    /** Removes the first items from the queue, up to `maxBatchBytes`, and returns them as a batch. */
+    [[nodiscard]] Batch freezeBatch();
 
     Incarnation self_;
     std::uint64_t lastSequence_ = 0;
-    /** Items that no batch has taken yet. */
-    std::deque<Item> waiting_;
-    /** The batch in flight, whole until its last item has landed. */
+    /** Items that are not part of a batch yet. */
+    std::deque<Item> queued_;
+    /** The frozen batch. It keeps all of its items until the last one has landed. */
     std::optional<Batch> inFlight_;
-    /** How many items of the batch in flight have landed. */
-    std::size_t landed_ = 0;
-    /** The append in flight failed, and has not been made again since. */
-    bool failed_ = false;
+    /** Number of items of the batch in flight that have landed. */
+    std::size_t landedInFlight_ = 0;
+    /** Whether the last append of the batch in flight failed. */
+    bool appendFailed_ = false;
     Instant retryAt_ {};
-    Duration wait_ = firstRetry;
+    Duration retryDelay_ = initialRetryDelay;
 };
 
 } // namespace swiftlift::ledger
--- a/src/ledger/Checkpoint.cpp
+++ b/src/ledger/Checkpoint.cpp
@@ -16,9 +16,9 @@
 
     using BudgetIndex = std::map<BudgetRef, std::uint32_t>;
 
-    void writeAccounts(const Books& books, pb::State& out)
+    void writeAccounts(const Balances& balances, pb::State& out)
     {
-        for (const auto& [id, account] : books.accounts()) {
+        for (const auto& [id, account] : balances.accounts()) {
             pb::Account& written = *out.add_accounts();
             written.set_account(id.value());
             written.set_key_hash(account.keyHash);
@@ -27,23 +27,23 @@
         }
     }
 
-    BudgetIndex writeBudgets(const Books& books, pb::State& out)
+    BudgetIndex writeBudgets(const Balances& balances, pb::State& out)
     {
         BudgetIndex index;
-        for (const auto& [ref, book] : books.budgets()) {
+        for (const auto& [ref, balance] : balances.budgets()) {
             index.emplace(ref, static_cast<std::uint32_t>(index.size()));
             pb::Budget& written = *out.add_budgets();
             written.mutable_budget()->set_account(ref.account.value());
             written.mutable_budget()->set_budget(ref.budget.value());
-            written.set_bought(book.view.bought.value());
-            written.set_closed(book.closed.value());
+            written.set_bought(balance.view.bought.value());
+            written.set_closed(balance.billedToClosedGrants.value());
         }
         return index;
     }
 
-    void writeGrants(const Books& books, const BudgetIndex& index, pb::State& out)
+    void writeGrants(const Balances& balances, const BudgetIndex& index, pb::State& out)
     {
-        for (const auto& [id, grant] : books.grants()) {
+        for (const auto& [id, grant] : balances.grants()) {
             pb::OpenGrant& written = *out.add_grants();
             written.mutable_grant()->set_holder(id.holder.value());
             written.mutable_grant()->set_number(id.number);
@@ -59,7 +59,7 @@
 
     void writeOrigins(const Origins& origins, pb::State& out)
     {
-        for (const auto& [turn, id] : origins.bySilence()) {
+        for (const auto& [lastActivity, id] : origins.byLastActivity()) {
             const Origin& origin = *origins.find(id);
             pb::Origin& written = *out.add_origins();
             written.set_origin(id.value());
@@ -71,22 +71,22 @@
 
     void writeKeys(const FoldState& state, pb::State& out)
     {
-        for (const RequestKey& key : state.bills.order()) {
+        for (const RequestKey& key : state.bills.keysByAge()) {
             out.add_bill_keys(key.high);
             out.add_bill_keys(key.low);
             out.add_bill_tokens(state.bills.find(key)->value());
         }
-        for (const RequestKey& key : state.claims.order()) {
+        for (const RequestKey& key : state.claims.keysByAge()) {
             out.add_claim_keys(key.high);
             out.add_claim_keys(key.low);
             out.add_claim_owners(state.claims.find(key)->value());
         }
     }
 
-    /** Reads one state; the first thing that is wrong stops it. */
-    class Reader {
+    /** Decodes one state and stops at the first error. */
+    class StateReader {
     public:
-        Reader(const pb::State& in, const FoldLimits& limits)
+        StateReader(const pb::State& in, const FoldLimits& limits)
             : in_(in)
             , state_(limits)
         {
@@ -95,7 +95,7 @@
         [[nodiscard]] std::optional<FoldState> read(const FoldLimits& limits, std::string& reason)
         {
             reason_ = &reason;
-            if (!readHead(limits) || !readAccounts() || !readBudgets() || !readOrigins() || !readGrants()
+            if (!readVersionAndLimits(limits) || !readAccounts() || !readBudgets() || !readOrigins() || !readGrants()
                 || !readBills() || !readClaims() || !checkSums())
                 return {};
             return std::move(state_);
@@ -108,12 +108,12 @@
             return false;
         }
 
-        bool readHead(const FoldLimits& limits)
+        bool readVersionAndLimits(const FoldLimits& limits)
         {
             if (in_.rules_version() == 0 || in_.rules_version() > rulesVersion)
-                return fail("its rules have version " + std::to_string(in_.rules_version()));
+                return fail("unknown rules version " + std::to_string(in_.rules_version()));
             if (in_.key_window() != limits.keys || in_.origin_window() != limits.origins)
-                return fail("it was written with other limits");
+                return fail("the writer's limits of keys and authors differ from the reader's");
             return true;
         }
 
@@ -121,9 +121,9 @@
         {
             for (const pb::Account& account : in_.accounts()) {
                 const AccountId id { account.account() };
-                if (state_.books.account(id))
-                    return fail("an account stands twice");
-                state_.books.addAccount(
+                if (state_.balances.account(id))
+                    return fail("duplicate account");
+                state_.balances.addAccount(
                     id, AccountView { account.key_hash(), account.closed(), Offset { account.revision() } });
             }
             return true;
@@ -133,12 +133,13 @@
         {
             for (const pb::Budget& budget : in_.budgets()) {
                 BudgetRef ref { AccountId { budget.budget().account() }, BudgetId { budget.budget().budget() } };
-                if (!state_.books.account(ref.account) || state_.books.budgets().contains(ref))
-                    return fail("a budget has no account, or stands twice");
+                if (!state_.balances.account(ref.account) || state_.balances.budgets().contains(ref))
+                    return fail("duplicate budget, or budget without an account");
                 if (budget.closed() < 0 || budget.closed() > budget.bought())
-                    return fail("a budget is out of bounds");
-                state_.books.credit(ref, Tokens { budget.bought() });
-                state_.books.addClosed(ref, Tokens { budget.closed() });
+                    return fail(
+                        "the billed tokens of a budget's closed grants must be between 0 and the tokens bought");
+                state_.balances.credit(ref, Tokens { budget.bought() });
+                state_.balances.addBilledToClosedGrants(ref, Tokens { budget.closed() });
                 budgets_.push_back(std::move(ref));
             }
             return true;
@@ -152,7 +153,7 @@
                 read.highestGrant = origin.highest_grant();
                 read.retired = origin.retired();
                 if (!state_.origins.add(Incarnation { origin.origin() }, read))
-                    return fail("an author stands twice");
+                    return fail("duplicate author");
             }
             return true;
         }
@@ -162,12 +163,12 @@
             for (const pb::OpenGrant& grant : in_.grants()) {
                 const GrantId id { Incarnation { grant.grant().holder() }, grant.grant().number() };
                 const Origin* const holder = state_.origins.find(id.holder);
-                if (grant.budget() >= budgets_.size() || state_.books.grant(id))
-                    return fail("a grant has no budget, or stands twice");
+                if (grant.budget() >= budgets_.size() || state_.balances.grant(id))
+                    return fail("duplicate grant, or grant without a budget");
                 if (!holder || id.number > holder->highestGrant)
-                    return fail("a grant has no holder");
+                    return fail("the holder of a grant is missing, or its highest grant number is too low");
                 if (!addGrant(id, grant))
-                    return fail("a grant is out of bounds");
+                    return fail("the held, billed or floor tokens of a grant are out of bounds");
                 ++state_.origins.at(id.holder).openGrants;
             }
             return true;
@@ -184,12 +185,12 @@
             view.floor = Tokens { grant.floor() };
             view.ceiling = Tokens { grant.ceiling() };
             view.witness = Incarnation { grant.witness() };
-            // Checked before the sum is made: it could not be counted if it passed the largest number.
-            if (view.held() < Tokens {} || view.held() > state_.books.available(view.budget))
+            // Checked before the grant is added to the budget's sums, which could overflow otherwise.
+            if (view.held() < Tokens {} || view.held() > state_.balances.available(view.budget))
                 return false;
             if (view.billed < Tokens {} || view.billed > view.held() || view.floor < Tokens {})
                 return false;
-            state_.books.addGrant(view);
+            state_.balances.addGrant(view);
             return true;
         }
 
@@ -197,11 +198,11 @@
         {
             const int count = in_.bill_tokens_size();
             if (in_.bill_keys_size() != 2 * count || static_cast<std::size_t>(count) > state_.bills.limit())
-                return fail("the billed keys don't match their tokens");
+                return fail("the numbers of billed keys and of their tokens differ, or exceed the limit");
             for (int i = 0; i < count; ++i) {
                 const RequestKey key { in_.bill_keys(2 * i), in_.bill_keys(2 * i + 1) };
                 if (in_.bill_tokens(i) < 0 || !state_.bills.add(key, Tokens { in_.bill_tokens(i) }))
-                    return fail("a billed key stands twice, or is out of bounds");
+                    return fail("duplicate billed key, or negative tokens of a billed key");
             }
             return true;
         }
@@ -210,19 +211,19 @@
         {
             const int count = in_.claim_owners_size();
             if (in_.claim_keys_size() != 2 * count || static_cast<std::size_t>(count) > state_.claims.limit())
-                return fail("the claimed keys don't match their owners");
+                return fail("the numbers of claimed keys and of their owners differ, or exceed the limit");
             for (int i = 0; i < count; ++i) {
                 const RequestKey key { in_.claim_keys(2 * i), in_.claim_keys(2 * i + 1) };
                 if (!state_.claims.add(key, Incarnation { in_.claim_owners(i) }))
-                    return fail("a claimed key stands twice");
+                    return fail("duplicate claimed key");
             }
             return true;
         }
 
         bool checkSums()
         {
-            const std::string finding = state_.books.inconsistency();
-            return finding.empty() || fail(finding);
+            const std::string mismatch = state_.balances.inconsistency();
+            return mismatch.empty() || fail(mismatch);
         }
 
         const pb::State& in_;
@@ -235,14 +236,14 @@
 
 std::string encodeState(const FoldState& state)
 {
-    // No field is a protobuf map, whose order would differ from run to run.
+    // No field of the message is a protobuf map, because the order of a map's encoded entries differs between runs.
     pb::State out;
     out.set_rules_version(rulesVersion);
     out.set_key_window(state.bills.limit());
     out.set_origin_window(state.origins.limit());
-    writeAccounts(state.books, out);
-    const BudgetIndex index = writeBudgets(state.books, out);
-    writeGrants(state.books, index, out);
+    writeAccounts(state.balances, out);
+    const BudgetIndex index = writeBudgets(state.balances, out);
+    writeGrants(state.balances, index, out);
     writeOrigins(state.origins, out);
     writeKeys(state, out);
     return out.SerializeAsString();
@@ -253,10 +254,10 @@
     pb::State in;
     if (bytes.size() > static_cast<std::size_t>(std::numeric_limits<int>::max())
         || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        reason = "the bytes are no state";
+        reason = "the bytes are not an encoded state";
         return {};
     }
-    return Reader(in, limits).read(limits, reason);
+    return StateReader(in, limits).read(limits, reason);
 }
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/Checkpoint.h
+++ b/src/ledger/Checkpoint.h
@@ -8,14 +8,14 @@
 
 namespace swiftlift::ledger::internal {
 
-/** @return The state's bytes; equal states give equal bytes. */
+/** @return The encoded state. Equal states are encoded in equal bytes. */
 [[nodiscard]] std::string encodeState(const FoldState& state);
 
 /**
- * @param bytes What `encodeState` gave.
- * @param limits Limits of the reader, which have to be those of the writer.
- * @param reason Takes why the bytes can't be read.
- * @return The state, or nothing.
+ * @param bytes State encoded by `encodeState()`.
+ * @param limits Limits of the reader, which must equal those of the writer.
+ * @param reason Receives the cause when the state cannot be decoded.
+ * @return The state, or `std::nullopt` when it cannot be decoded or is inconsistent.
  */
 [[nodiscard]] std::optional<FoldState> decodeState(
     std::string_view bytes, const FoldLimits& limits, std::string& reason);
--- a/src/ledger/CheckpointSchedule.cpp
+++ b/src/ledger/CheckpointSchedule.cpp
@@ -10,20 +10,20 @@
 
 bool CheckpointSchedule::due(Instant now, std::uint32_t routers)
 {
-    if (!next_) {
-        next_ = draw(now, interval_ * routers);
+    if (!nextDue_) {
+        nextDue_ = drawDueTime(now, interval_ * routers);
     }
-    if (now < *next_) {
+    if (now < *nextDue_) {
         return false;
     }
-    next_ = draw(now, 2 * interval_ * routers);
+    nextDue_ = drawDueTime(now, 2 * interval_ * routers);
     return true;
 }
 
-Instant CheckpointSchedule::draw(Instant now, Duration longest)
+Instant CheckpointSchedule::drawDueTime(Instant now, Duration maxDelay)
 {
-    std::uniform_int_distribution<Duration::rep> turn(0, longest.count());
-    return now + Duration { turn(random_) };
+    std::uniform_int_distribution<Duration::rep> delay(0, maxDelay.count());
+    return now + Duration { delay(random_) };
 }
 
 } // namespace swiftlift::ledger
--- a/src/ledger/Entry.cpp
+++ b/src/ledger/Entry.cpp
@@ -22,7 +22,7 @@
     };
 
     template <typename Value>
-    concept NamesGrant = requires(const Value& entry)
+    concept RefersToGrant = requires(const Value& entry)
     {
         GrantId { entry.grant };
     };
@@ -35,7 +35,7 @@
 {
     return std::visit(
         [](const auto& value) -> std::optional<GrantId> {
-            if constexpr (NamesGrant<std::decay_t<decltype(value)>>) {
+            if constexpr (RefersToGrant<std::decay_t<decltype(value)>>) {
                 return value.grant;
             } else {
                 return std::nullopt;
--- a/src/ledger/EntryCodec.cpp
+++ b/src/ledger/EntryCodec.cpp
@@ -11,7 +11,7 @@
 
     namespace pb = swiftlift::proto::ledger;
 
-    /** Writes an entry into its item. */
+    /** Encodes an entry into an item. */
     class EntryWriter {
     public:
         explicit EntryWriter(pb::Item& out)
@@ -95,7 +95,8 @@
             out.set_key_low(key.low);
         }
 
-        template <typename Witnessed, typename Message> static void writeCeiling(const Witnessed& entry, Message& out)
+        template <typename EntryWithCeiling, typename Message>
+        static void writeCeiling(const EntryWithCeiling& entry, Message& out)
         {
             toProto(entry.grant, *out.mutable_grant());
             out.set_witness(entry.witness.value());
@@ -140,7 +141,7 @@
 std::optional<GrantId> fromProto(const pb::Grant& grant, std::string& reason)
 {
     if (grant.holder() == 0 || grant.number() == 0) {
-        reason = "a grant without holder or number";
+        reason = "grant without holder or number";
         return {};
     }
     return GrantId { Incarnation { grant.holder() }, grant.number() };
@@ -150,7 +151,7 @@
 {
     for (const std::string& name : { budget.account(), budget.budget() }) {
         if (name.empty() || name.size() > maxNameBytes) {
-            reason = "a name with a length of " + std::to_string(name.size()) + " bytes";
+            reason = "name of an account or budget with a length of " + std::to_string(name.size()) + " bytes";
             return {};
         }
     }
--- a/src/ledger/EntryCodecReader.cpp
+++ b/src/ledger/EntryCodecReader.cpp
@@ -27,11 +27,11 @@
     pb::Batch in;
     if (record.size() > static_cast<std::size_t>(std::numeric_limits<int>::max())
         || !in.ParseFromArray(record.data(), static_cast<int>(record.size()))) {
-        reason_ = "the bytes are no batch";
+        reason_ = "the bytes are not an encoded batch";
         return {};
     }
     if (in.rules_version() == 0) {
-        reason_ = "a batch without a version of its rules";
+        reason_ = "batch without a rules version";
         return {};
     }
     Batch batch { in.rules_version(), {} };
@@ -53,7 +53,7 @@
 bool BatchReader::readItem(const pb::Item& in, Item& out)
 {
     if (in.origin() == 0 || in.sequence() == 0)
-        return fail("an item without author or sequence");
+        return fail("item without author or sequence");
     out.origin = Incarnation { in.origin() };
     out.sequence = in.sequence();
     return readEntry(in, out.entry);
@@ -93,15 +93,15 @@
     case pb::Item::ENTRY_NOT_SET:
         break;
     }
-    return fail("an item without an entry that these rules know");
+    return fail("item without an entry of a known kind");
 }
 
 bool BatchReader::readValue(const pb::OpenAccount& in, OpenAccount& out)
 {
     if (in.account().empty() || in.account().size() > maxNameBytes)
-        return fail("a name with a length of " + std::to_string(in.account().size()) + " bytes");
+        return fail("account name with a length of " + std::to_string(in.account().size()) + " bytes");
     if (in.key_hash().empty() || in.key_hash().size() > maxKeyHashBytes)
-        return fail("a key's hash with a length of " + std::to_string(in.key_hash().size()) + " bytes");
+        return fail("key hash with a length of " + std::to_string(in.key_hash().size()) + " bytes");
     out = OpenAccount { AccountId { in.account() }, in.key_hash() };
     return true;
 }
@@ -109,7 +109,7 @@
 bool BatchReader::readValue(const pb::CloseAccount& in, CloseAccount& out)
 {
     if (in.account().empty() || in.account().size() > maxNameBytes)
-        return fail("a name with a length of " + std::to_string(in.account().size()) + " bytes");
+        return fail("account name with a length of " + std::to_string(in.account().size()) + " bytes");
     out = CloseAccount { AccountId { in.account() }, Offset { in.expected_revision() } };
     return true;
 }
@@ -192,7 +192,7 @@
 bool BatchReader::readTokens(std::int64_t in, Tokens& out)
 {
     if (in < 0)
-        return fail("a negative number of tokens");
+        return fail("negative number of tokens");
     out = Tokens { in };
     return true;
 }
--- a/src/ledger/EntryCodecReader.h
+++ b/src/ledger/EntryCodecReader.h
@@ -9,11 +9,13 @@
 
 namespace swiftlift::ledger::internal {
 
-/** Reads one record; the first thing that is wrong makes the whole record void. */
+/** Decodes one record. The first error makes the whole record void. */
 class BatchReader {
 public:
+    /** @param reason Receives the cause when the record cannot be decoded. */
     explicit BatchReader(std::string& reason);
 
+    /** @return The batch, or `std::nullopt` when the record cannot be decoded. See `decodeBatch()`. */
     [[nodiscard]] std::optional<Batch> read(std::string_view record);
 
 private:
--- a/src/ledger/Fold.cpp
+++ b/src/ledger/Fold.cpp
@@ -35,33 +35,35 @@
 bool Fold::apply(Offset offset, const Batch& batch, std::vector<Effect>& effects)
 {
     if (offset != nextOffset_)
-        return fail("record " + std::to_string(offset.value()) + " is not the next one, which is "
+        return fail("record " + std::to_string(offset.value()) + " is not the next record, which is "
             + std::to_string(nextOffset_.value()));
     if (batch.version == 0 || batch.version > rulesVersion) {
-        // S14: two releases that fold differently would each admit the same money. The older one stops instead.
-        return fail("record " + std::to_string(offset.value()) + " has rules of version "
-            + std::to_string(batch.version) + ", known are those up to " + std::to_string(rulesVersion));
+        // Rule S14: two releases with different rules could admit the same tokens to two holders, so the older one
+        // stops.
+        return fail("record " + std::to_string(offset.value()) + " has rules version " + std::to_string(batch.version)
+            + ", but the highest known version is " + std::to_string(rulesVersion));
     }
-    internal::Rules rules(*state_, offset, effects);
+    internal::FoldRules rules(*state_, offset, effects);
     for (const Item& item : batch.items)
-        rules.take(item);
+        rules.applyItem(item);
     nextOffset_ = Offset { offset.value() + 1 };
-    // A recount after every record costs each reader the number of grants open, whatever the record changes. Each rule
-    // keeps the sums of its own budget; one that does not shows within so many records.
+    // A recount after each record would cost each reader time in proportion to the number of open grants, whatever the
+    // record changes. Each rule updates the sums of its own budget; an error in a rule shows within `recountEvery`
+    // records.
     constexpr std::uint64_t recountEvery = 32;
     assert((nextOffset_.value() % recountEvery != 0 || inconsistency().empty())
-        && "S3, S4: held stays within bought, and the sums match");
+        && "rules S3, S4: a budget never holds more than was bought, and its sums match its grants");
     return true;
 }
 
 bool Fold::restore(const Checkpoint& checkpoint)
 {
     if (checkpoint.asOf < nextOffset_)
-        return fail("the checkpoint is older than what has been read");
+        return fail("the checkpoint is older than the records that were applied");
     std::string reason;
     std::optional<internal::FoldState> state = internal::decodeState(checkpoint.state, limits_, reason);
     if (!state)
-        return fail("the checkpoint can't be read: " + reason);
+        return fail("the checkpoint can't be decoded: " + reason);
     *state_ = std::move(*state);
     nextOffset_ = checkpoint.asOf;
     return true;
@@ -75,21 +77,21 @@
 
 std::optional<BudgetView> Fold::budget(const BudgetRef& ref) const
 {
-    const auto& budgets = state_->books.budgets();
+    const auto& budgets = state_->balances.budgets();
     const auto found = budgets.find(ref);
     return found == budgets.end() ? std::nullopt : std::optional(found->second.view);
 }
 
 std::optional<AccountView> Fold::account(const AccountId& id) const
 {
-    const auto& accounts = state_->books.accounts();
+    const auto& accounts = state_->balances.accounts();
     const auto found = accounts.find(id);
     return found == accounts.end() ? std::nullopt : std::optional(found->second);
 }
 
 std::optional<GrantView> Fold::grant(const GrantId& id) const
 {
-    const auto& grants = state_->books.grants();
+    const auto& grants = state_->balances.grants();
     const auto found = grants.find(id);
     return found == grants.end() ? std::nullopt : std::optional(found->second);
 }
@@ -97,8 +99,8 @@
 std::vector<GrantView> Fold::openGrants() const
 {
     std::vector<GrantView> views;
-    views.reserve(state_->books.grants().size());
-    for (const auto& [id, grant] : state_->books.grants())
+    views.reserve(state_->balances.grants().size());
+    for (const auto& [id, grant] : state_->balances.grants())
         views.push_back(grant);
     return views;
 }
@@ -106,8 +108,8 @@
 std::vector<BudgetRef> Fold::budgets() const
 {
     std::vector<BudgetRef> refs;
-    refs.reserve(state_->books.budgets().size());
-    for (const auto& [ref, book] : state_->books.budgets())
+    refs.reserve(state_->balances.budgets().size());
+    for (const auto& [ref, balance] : state_->balances.budgets())
         refs.push_back(ref);
     return refs;
 }
@@ -115,8 +117,8 @@
 std::vector<AccountId> Fold::accounts() const
 {
     std::vector<AccountId> ids;
-    ids.reserve(state_->books.accounts().size());
-    for (const auto& [id, account] : state_->books.accounts())
+    ids.reserve(state_->balances.accounts().size());
+    for (const auto& [id, account] : state_->balances.accounts())
         ids.push_back(id);
     return ids;
 }
@@ -145,7 +147,7 @@
     return known ? known->lastSequence : 0;
 }
 
-std::string Fold::inconsistency() const { return state_->books.inconsistency(); }
+std::string Fold::inconsistency() const { return state_->balances.inconsistency(); }
 
 bool Fold::fail(std::string reason)
 {
--- a/src/ledger/FoldBalances.cpp
+++ b/src/ledger/FoldBalances.cpp
@@ -1,4 +1,4 @@
-#include "ledger/FoldBooks.h"
+#include "ledger/FoldBalances.h"
 
 #include <algorithm>
 #include <cassert>
@@ -10,74 +10,74 @@
 
     std::string nameOf(const BudgetRef& ref) { return ref.account.value() + "/" + ref.budget.value(); }
 
-    std::string findingOf(const BudgetBook& book, const BudgetView& counted)
+    std::string inconsistencyOf(const BudgetBalance& balance, const BudgetView& recounted)
     {
-        if (book.view.held != counted.held)
-            return "held is not the sum of its grants";
-        if (book.view.billed != counted.billed)
-            return "billed is not the sum of its grants";
-        if (book.view.held > book.view.bought)
-            return "holds more than was bought";
-        if (book.closed < Tokens {} || book.view.billed > book.view.held)
-            return "was billed more than it holds";
+        if (balance.view.held != recounted.held)
+            return "has a held sum that differs from the sum over its grants";
+        if (balance.view.billed != recounted.billed)
+            return "has a billed sum that differs from the sum over its grants";
+        if (balance.view.held > balance.view.bought)
+            return "holds more tokens than were bought";
+        if (balance.billedToClosedGrants < Tokens {} || balance.view.billed > balance.view.held)
+            return "was billed more tokens than it holds";
         return {};
     }
 
-    bool isSound(const GrantView& grant)
+    bool isConsistent(const GrantView& grant)
     {
         return Tokens {} <= grant.billed && grant.billed <= grant.held() && grant.held() <= grant.amount;
     }
 
 } // namespace
 
-AccountView* Books::account(const AccountId& id)
+AccountView* Balances::account(const AccountId& id)
 {
     const auto found = accounts_.find(id);
     return found == accounts_.end() ? nullptr : &found->second;
 }
 
-GrantView* Books::grant(const GrantId& id)
+GrantView* Balances::grant(const GrantId& id)
 {
     const auto found = grants_.find(id);
     return found == grants_.end() ? nullptr : &found->second;
 }
 
-Tokens Books::available(const BudgetRef& ref) const
+Tokens Balances::available(const BudgetRef& ref) const
 {
     const auto found = budgets_.find(ref);
     return found == budgets_.end() ? Tokens {} : found->second.view.available();
 }
 
-void Books::addAccount(const AccountId& id, AccountView account) { accounts_.emplace(id, std::move(account)); }
+void Balances::addAccount(const AccountId& id, AccountView account) { accounts_.emplace(id, std::move(account)); }
 
-void Books::credit(const BudgetRef& ref, Tokens amount) { budgets_[ref].view.bought += amount; }
+void Balances::credit(const BudgetRef& ref, Tokens amount) { budgets_[ref].view.bought += amount; }
 
-void Books::addGrant(const GrantView& grant)
+void Balances::addGrant(const GrantView& grant)
 {
-    assert(budgets_.contains(grant.budget) && "a grant belongs to a known budget");
+    assert(budgets_.contains(grant.budget) && "the budget of a grant must exist");
     BudgetView& budget = budgets_.at(grant.budget).view;
     budget.held += grant.held();
     budget.billed += grant.billed;
     grants_.emplace(grant.id, grant);
 }
 
-void Books::addClosed(const BudgetRef& ref, Tokens billed)
+void Balances::addBilledToClosedGrants(const BudgetRef& ref, Tokens billed)
 {
-    BudgetBook& book = budgets_.at(ref);
-    book.closed += billed;
-    book.view.held += billed;
-    book.view.billed += billed;
+    BudgetBalance& balance = budgets_.at(ref);
+    balance.billedToClosedGrants += billed;
+    balance.view.held += billed;
+    balance.view.billed += billed;
 }
 
-void Books::giveBack(GrantView& grant, Tokens amount)
+void Balances::returnTokens(GrantView& grant, Tokens amount)
 {
-    assert(grant.state == GrantState::Open && "only an open grant gives back");
+    assert(grant.state == GrantState::Open && "only an open grant may return tokens");
     grant.amount -= amount;
     grant.floor = std::min(grant.floor, grant.amount);
     budgets_.at(grant.budget).view.held -= amount;
 }
 
-void Books::seal(GrantView& grant, Tokens ceiling)
+void Balances::seal(GrantView& grant, Tokens ceiling)
 {
     BudgetView& budget = budgets_.at(grant.budget).view;
     budget.held -= grant.held();
@@ -86,37 +86,38 @@
     budget.held += grant.held();
 }
 
-void Books::charge(GrantView& grant, Tokens tokens)
+void Balances::charge(GrantView& grant, Tokens tokens)
 {
     grant.billed += tokens;
     budgets_.at(grant.budget).view.billed += tokens;
 }
 
-void Books::close(const GrantView& grant)
+void Balances::close(const GrantView& grant)
 {
-    BudgetBook& book = budgets_.at(grant.budget);
-    book.view.held -= grant.held();
-    book.view.held += grant.billed;
-    book.closed += grant.billed;
+    BudgetBalance& balance = budgets_.at(grant.budget);
+    balance.view.held -= grant.held();
+    balance.view.held += grant.billed;
+    balance.billedToClosedGrants += grant.billed;
     grants_.erase(GrantId { grant.id });
 }
 
-std::string Books::inconsistency() const
+std::string Balances::inconsistency() const
 {
-    std::map<BudgetRef, BudgetView> counted;
+    std::map<BudgetRef, BudgetView> recounted;
     for (const auto& [id, grant] : grants_) {
-        if (!isSound(grant))
-            return "grant " + std::to_string(id.number) + " of " + nameOf(grant.budget) + " is out of bounds";
-        BudgetView& sum = counted[grant.budget];
+        if (!isConsistent(grant))
+            return "grant " + std::to_string(id.number) + " of " + nameOf(grant.budget)
+                + " violates 0 <= billed <= held <= amount";
+        BudgetView& sum = recounted[grant.budget];
         sum.held += grant.held();
         sum.billed += grant.billed;
     }
-    for (const auto& [ref, book] : budgets_) {
-        BudgetView& sum = counted[ref];
-        sum.held += book.closed;
-        sum.billed += book.closed;
-        if (std::string finding = findingOf(book, sum); !finding.empty())
-            return "budget " + nameOf(ref) + " " + finding;
+    for (const auto& [ref, balance] : budgets_) {
+        BudgetView& sum = recounted[ref];
+        sum.held += balance.billedToClosedGrants;
+        sum.billed += balance.billedToClosedGrants;
+        if (std::string mismatch = inconsistencyOf(balance, sum); !mismatch.empty())
+            return "budget " + nameOf(ref) + " " + mismatch;
     }
     return {};
 }
--- a/src/ledger/FoldKeyWindow.h
+++ b/src/ledger/FoldKeyWindow.h
@@ -9,20 +9,22 @@
 namespace swiftlift::ledger::internal {
 
 /**
- * @brief The latest keys with a value each; the oldest key is forgotten when there are too many.
+ * @brief Map from the most recently added keys to values. Above `limit` keys, the oldest key is evicted.
  *
- * Counted, not timed: readers of the same prefix forget the same keys, whenever they read it.
+ * Keys are evicted by number and not by time, so that all readers of a prefix evict the same keys, whenever they read
+ * it.
  */
 template <typename Value> class KeyWindow {
 public:
-    using Order = std::deque<RequestKey>;
+    using KeyQueue = std::deque<RequestKey>;
 
+    /** @param limit Maximum number of keys. */
     explicit KeyWindow(std::size_t limit)
         : limit_(limit)
     {
     }
 
-    /** @return The key's value, or null when it is not remembered. */
+    /** @return Value of the key, or null when the key is not in the map. */
     [[nodiscard]] const Value* find(const RequestKey& key) const
     {
         const auto found = values_.find(key);
@@ -30,32 +32,32 @@
     }
 
     /**
-     * @brief Remembers a new key as the youngest one.
-     * @return false when the key is remembered already; nothing is changed.
+     * @brief Adds a key as the newest one.
+     * @return `false` when the key is in the map already; the map is then unchanged.
      */
     bool add(const RequestKey& key, const Value& value)
     {
         if (!values_.emplace(key, value).second)
             return false;
-        order_.push_back(key);
-        if (order_.size() > limit_) {
-            values_.erase(order_.front());
-            order_.pop_front();
+        keysByAge_.push_back(key);
+        if (keysByAge_.size() > limit_) {
+            values_.erase(keysByAge_.front());
+            keysByAge_.pop_front();
         }
         return true;
     }
 
-    /** Changes the value of a remembered key, which keeps its age. */
-    void change(const RequestKey& key, const Value& value) { values_.at(key) = value; }
+    /** Replaces the value of a key that is in the map. The key keeps its age. */
+    void setValue(const RequestKey& key, const Value& value) { values_.at(key) = value; }
 
     /** @return The keys, oldest first. */
-    [[nodiscard]] const Order& order() const noexcept { return order_; }
+    [[nodiscard]] const KeyQueue& keysByAge() const noexcept { return keysByAge_; }
 
     [[nodiscard]] std::size_t limit() const noexcept { return limit_; }
 
 private:
     std::size_t limit_;
-    Order order_;
+    KeyQueue keysByAge_;
     std::unordered_map<RequestKey, Value> values_;
 };
 
--- a/src/ledger/FoldOrigins.cpp
+++ b/src/ledger/FoldOrigins.cpp
@@ -17,48 +17,48 @@
 
 Origin& Origins::at(Incarnation id) { return origins_.at(id); }
 
-void Origins::advance(Incarnation id, std::uint64_t sequence)
+void Origins::recordItem(Incarnation id, std::uint64_t sequence)
 {
     Origin& origin = origins_[id];
     origin.lastSequence = sequence;
-    touch(id, origin);
-    forgetSilent();
+    markMostRecent(id, origin);
+    evictLeastRecent();
 }
 
 bool Origins::add(Incarnation id, Origin origin)
 {
-    origin.turn = 0;
+    origin.lastActivity = 0;
     const auto [place, isNew] = origins_.emplace(id, origin);
     if (isNew)
-        touch(id, place->second);
+        markMostRecent(id, place->second);
     return isNew;
 }
 
-const std::map<std::uint64_t, Incarnation>& Origins::bySilence() const noexcept { return bySilence_; }
+const std::map<std::uint64_t, Incarnation>& Origins::byLastActivity() const noexcept { return byLastActivity_; }
 
 std::size_t Origins::limit() const noexcept { return limit_; }
 
-void Origins::touch(Incarnation id, Origin& origin)
+void Origins::markMostRecent(Incarnation id, Origin& origin)
 {
-    bySilence_.erase(origin.turn);
-    origin.turn = nextTurn_++;
-    bySilence_.emplace_hint(bySilence_.end(), origin.turn, id);
+    byLastActivity_.erase(origin.lastActivity);
+    origin.lastActivity = nextActivity_++;
+    byLastActivity_.emplace_hint(byLastActivity_.end(), origin.lastActivity, id);
 }
 
-void Origins::forgetSilent()
+void Origins::evictLeastRecent()
 {
-    // A holder whose grant is not closed has to stay known, or a bill on a closed grant of it could not be told from
-    // a bill on one that never was. It goes to the end of the queue instead; one pass is enough, since whoever is left
-    // after it has a grant too.
-    for (std::size_t passes = bySilence_.size(); origins_.size() > limit_ && passes > 1; --passes) {
-        const Incarnation oldest = bySilence_.begin()->second;
-        Origin& origin = origins_.at(oldest);
+    // A holder with a grant that is not closed has to stay, because a bill on one of its closed grants could otherwise
+    // not be distinguished from a bill on a grant that never existed. Such a holder moves to the end of the order. One
+    // pass is enough: all authors that remain after it have a grant that is not closed.
+    for (std::size_t passes = byLastActivity_.size(); origins_.size() > limit_ && passes > 1; --passes) {
+        const Incarnation leastRecent = byLastActivity_.begin()->second;
+        Origin& origin = origins_.at(leastRecent);
         if (origin.openGrants > 0) {
-            touch(oldest, origin);
+            markMostRecent(leastRecent, origin);
             continue;
         }
-        bySilence_.erase(origin.turn);
-        origins_.erase(oldest);
+        byLastActivity_.erase(origin.lastActivity);
+        origins_.erase(leastRecent);
     }
 }
 
--- a/src/ledger/FoldOrigins.h
+++ b/src/ledger/FoldOrigins.h
@@ -8,56 +8,60 @@
 
 namespace swiftlift::ledger::internal {
 
-/** What the fold remembers of one author. */
+/** State of one author of items. */
 struct Origin {
-    /** Sequence of its last item that counted. */
+    /** Sequence of the author's last item that was in sequence. */
     std::uint64_t lastSequence = 0;
-    /** Highest number of its draws; a grant up to this number that is not open is closed or was refused. */
+    /** Highest number of the author's draws. A grant up to this number that is neither open nor sealed is closed or was
+     * refused. */
     std::uint32_t highestGrant = 0;
-    /** How many of its grants are not closed. */
+    /** Number of the author's grants that are not closed. */
     std::uint32_t openGrants = 0;
-    /** One of its grants was sealed: it draws no more. */
+    /** Whether draws are refused because a grant of the author was sealed or written off. */
     bool retired = false;
-    /** Turn of its last item that counted. */
-    std::uint64_t turn = 0;
+    /** Position of the author's last item in the order over all authors' items. */
+    std::uint64_t lastActivity = 0;
 };
 
 /**
- * @brief The authors, of which the longest silent ones are forgotten when there are too many.
+ * @brief Bounded set of the authors of items, with eviction of the least recently active author.
  *
- * An author with a grant that is not closed is never forgotten.
+ * An author with a grant that is not closed is never evicted, so the set may exceed its limit.
  */
 class Origins {
 public:
+    /** @param limit Number of authors above which authors are evicted. */
     explicit Origins(std::size_t limit);
 
+    /** @return The author, or null when it is not in the set. */
     [[nodiscard]] const Origin* find(Incarnation id) const;
 
-    /** @return The author, which is known already. */
+    /** @return The author, which must be in the set. */
     [[nodiscard]] Origin& at(Incarnation id);
 
-    /** @brief Takes note that an item of `id` counts, and forgets who has been silent too long. */
-    void advance(Incarnation id, std::uint64_t sequence);
+    /** @brief Records an item of the author, which becomes the most recently active one, and evicts authors above the
+     * limit. */
+    void recordItem(Incarnation id, std::uint64_t sequence);
 
     /**
-     * @brief Adds an author from a checkpoint, as the one heard last.
-     * @return false when it is known already.
+     * @brief Adds an author from a checkpoint as the most recently active one.
+     * @return `false` when the author is in the set already; the set is then unchanged.
      */
     [[nodiscard]] bool add(Incarnation id, Origin origin);
 
-    /** @return The authors by turn, the longest silent one first. */
-    [[nodiscard]] const std::map<std::uint64_t, Incarnation>& bySilence() const noexcept;
+    /** @return The authors, ordered by their last activity, the least recent first. */
+    [[nodiscard]] const std::map<std::uint64_t, Incarnation>& byLastActivity() const noexcept;
 
     [[nodiscard]] std::size_t limit() const noexcept;
 
 private:
-    void touch(Incarnation id, Origin& origin);
-    void forgetSilent();
+    void markMostRecent(Incarnation id, Origin& origin);
+    void evictLeastRecent();
 
     std::size_t limit_;
-    std::uint64_t nextTurn_ = 1;
+    std::uint64_t nextActivity_ = 1;
     std::map<Incarnation, Origin> origins_;
-    std::map<std::uint64_t, Incarnation> bySilence_;
+    std::map<std::uint64_t, Incarnation> byLastActivity_;
 };
 
 } // namespace swiftlift::ledger::internal
--- a/src/ledger/FoldRules.h
+++ b/src/ledger/FoldRules.h
@@ -10,41 +10,51 @@
 
 namespace swiftlift::ledger::internal {
 
-/** Why an entry is refused; nothing when it stands. */
+/** Reason for which an entry is refused; `std::nullopt` when the entry is accepted. */
 using Refusal = std::optional<std::string>;
 
 /** @brief Applies the items of one record to the state, by the rules in docs/LEDGER.md. */
-class Rules {
+class FoldRules {
 public:
-    Rules(FoldState& state, Offset at, std::vector<Effect>& effects);
-
-    /** @brief Takes one item: a repeat is ignored, a hole refused, the next in sequence applied. */
-    void take(const Item& item);
+    /**
+     * @param state State to which the items are applied.
+     * @param offset Offset of the record.
+     * @param effects Receives the effects of the items, appended in order.
+     */
+    FoldRules(FoldState& state, Offset offset, std::vector<Effect>& effects);
+
+    /**
+     * @brief Applies an item when it is the next of its author's sequence. A repeated item is ignored, and an item that
+     * leaves a gap in the sequence is refused.
+     */
+    void applyItem(const Item& item);
 
 private:
-    [[nodiscard]] Refusal rule(Incarnation origin, const OpenAccount& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const CloseAccount& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const TopUp& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Fund& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Draw& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Return& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const CloseGrant& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const WriteOff& entry);
-    void close(GrantView& grant);
-    [[nodiscard]] Refusal rule(Incarnation origin, const ChangeWitness& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Seal& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Bill& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Claim& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const VoidClaim& entry);
-    [[nodiscard]] Refusal rule(Incarnation origin, const Checkpoint& entry);
-
-    [[nodiscard]] Refusal refusalOf(Incarnation origin, const Draw& entry);
-    void admit(const Draw& entry, Tokens admitted);
-    [[nodiscard]] std::string missing(const GrantId& id) const;
-    void changed(const GrantView& grant);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const OpenAccount& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const CloseAccount& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const TopUp& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Fund& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Draw& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Return& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const CloseGrant& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const WriteOff& entry);
+    void closeGrant(GrantView& grant);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const ChangeWitness& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Seal& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Bill& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Claim& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const VoidClaim& entry);
+    [[nodiscard]] Refusal applyEntry(Incarnation origin, const Checkpoint& entry);
+
+    /** @return Why the draw breaks a rule; `std::nullopt` when it breaks none. */
+    [[nodiscard]] Refusal refusalOfDraw(Incarnation origin, const Draw& entry);
+    void addAdmittedGrant(const Draw& entry, Tokens admitted);
+    /** @return Reason to refuse an entry on a grant that is neither open nor sealed. */
+    [[nodiscard]] std::string missingGrantReason(const GrantId& id) const;
+    void emitGrantChanged(const GrantView& grant);
 
     FoldState& state_;
-    Offset at_;
+    Offset offset_;
     std::vector<Effect>& effects_;
 };
 
--- a/src/ledger/FoldState.h
+++ b/src/ledger/FoldState.h
@@ -2,14 +2,14 @@
 
 #include <cstddef>
 
-#include "ledger/FoldBooks.h"
+#include "ledger/FoldBalances.h"
 #include "ledger/FoldKeyWindow.h"
 #include "ledger/FoldOrigins.h"
 #include "swiftlift/ledger/Fold.h"
 
 namespace swiftlift::ledger::internal {
 
-/** Everything a checkpoint carries. */
+/** The fold's state, which a checkpoint contains in full. */
 struct FoldState {
     explicit FoldState(const FoldLimits& limits)
         : origins(limits.origins)
@@ -18,9 +18,11 @@
     {
     }
 
-    Books books;
+    Balances balances;
     Origins origins;
+    /** Tokens billed under each key. */
     KeyWindow<Tokens> bills;
+    /** Owner of each key that was claimed; the null incarnation when the key is void. */
     KeyWindow<Incarnation> claims;
 };
 
--- a/src/ledger/Outbox.cpp
+++ b/src/ledger/Outbox.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-    /** Most bytes of a bill with its origin and sequence: six numbers of eight bytes and three smaller ones, each with
-     * its tag. */
-    constexpr std::size_t billBound = 86;
+    /** Maximum bytes of an encoded bill with its origin and sequence: six numbers of eight bytes and three smaller
+     * numbers, each with its tag. */
+    constexpr std::size_t maxBillBytes = 86;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 std::uint64_t Outbox::add(Entry entry)
 {
     ++lastSequence_;
-    waiting_.push_back(Item { self_, lastSequence_, std::move(entry) });
+    queued_.push_back(Item { self_, lastSequence_, std::move(entry) });
     return lastSequence_;
 }
 
@@ -34,56 +34,57 @@
     if (inFlight_) {
         if (now < retryAt_)
             return {};
-        wait_ = std::min(wait_ * 2, longestRetry);
+        retryDelay_ = std::min(retryDelay_ * 2, maxRetryDelay);
     } else {
-        if (waiting_.empty())
+        if (queued_.empty())
             return {};
-        inFlight_ = freeze();
-        landed_ = 0;
-        wait_ = firstRetry;
+        inFlight_ = freezeBatch();
+        landedInFlight_ = 0;
+        retryDelay_ = initialRetryDelay;
     }
-    retryAt_ = now + wait_;
-    failed_ = false;
+    retryAt_ = now + retryDelay_;
+    appendFailed_ = false;
     return inFlight_;
 }
 
 void Outbox::onFailure(Instant now)
 {
-    retryAt_ = now + wait_;
-    failed_ = true;
+    retryAt_ = now + retryDelay_;
+    appendFailed_ = true;
 }
 
 void Outbox::onReachable(Instant now)
 {
-    if (!inFlight_ || !failed_)
+    if (!inFlight_ || !appendFailed_)
         return;
     retryAt_ = now;
-    wait_ = firstRetry;
+    retryDelay_ = initialRetryDelay;
 }
 
 void Outbox::onAnswered(Instant now)
 {
-    retryAt_ = now + longestRetry;
-    failed_ = false;
+    retryAt_ = now + maxRetryDelay;
+    appendFailed_ = false;
 }
 
 void Outbox::onLanded(const Landed& landed, Instant)
 {
-    // A sequence that was never given out is not this author's, and taking its word for it would lose an item.
+    // An item of another author, or with a sequence that this outbox has not assigned, must not count as landed,
+    // because a queued item would then never be appended.
     if (landed.origin != self_ || landed.sequence > lastSequence_)
         return;
-    // A peer that keeps copies may have appended items that wait here. The fold ignores a repeat without a word, so
-    // sending them again would wait for ever to read them back.
-    while (!waiting_.empty() && waiting_.front().sequence <= landed.sequence)
-        waiting_.pop_front();
+    // A replica may have appended queued items from its copies. The fold ignores a repeated item without any effect, so
+    // this outbox would append such an item again and again and never see it land.
+    while (!queued_.empty() && queued_.front().sequence <= landed.sequence)
+        queued_.pop_front();
     if (!inFlight_)
         return;
     const std::uint64_t first = inFlight_->items.front().sequence;
     if (landed.sequence >= first) {
         const auto landedItems = static_cast<std::size_t>(landed.sequence - first + 1);
-        landed_ = std::max(landed_, std::min(landedItems, inFlight_->items.size()));
+        landedInFlight_ = std::max(landedInFlight_, std::min(landedItems, inFlight_->items.size()));
     }
-    if (landed_ == inFlight_->items.size())
+    if (landedInFlight_ == inFlight_->items.size())
         inFlight_.reset();
 }
 
@@ -91,48 +92,49 @@
 
 std::size_t Outbox::pending() const noexcept
 {
-    return waiting_.size() + (inFlight_ ? inFlight_->items.size() - landed_ : 0);
+    return queued_.size() + (inFlight_ ? inFlight_->items.size() - landedInFlight_ : 0);
 }
 
 Batch Outbox::copyAfter(std::uint64_t sequence) const
 {
     Batch batch;
-    const auto take = [&](const Item& item) {
+    const auto addItem = [&](const Item& item) {
         if (item.sequence > sequence && batch.items.size() < maxCopyItems)
             batch.items.push_back(item);
     };
     if (inFlight_)
-        std::for_each(inFlight_->items.begin() + static_cast<std::ptrdiff_t>(landed_), inFlight_->items.end(), take);
-    std::for_each(waiting_.begin(), waiting_.end(), take);
+        std::for_each(
+            inFlight_->items.begin() + static_cast<std::ptrdiff_t>(landedInFlight_), inFlight_->items.end(), addItem);
+    std::for_each(queued_.begin(), queued_.end(), addItem);
     return batch;
 }
 
 std::optional<Instant> Outbox::wakeAt() const noexcept { return inFlight_ ? std::optional(retryAt_) : std::nullopt; }
 
-Batch Outbox::freeze()
+Batch Outbox::freezeBatch()
 {
-    // One item always goes, whatever its size: a checkpoint may be larger than a batch of bills.
-    auto end = waiting_.begin() + 1;
-    for (std::size_t bytes = sizeBound(waiting_.front()); end != waiting_.end(); ++end) {
-        bytes += sizeBound(*end);
+    // A batch has at least one item, whatever its size: a checkpoint may be larger than `maxBatchBytes`.
+    auto end = queued_.begin() + 1;
+    for (std::size_t bytes = maxEncodedBytes(queued_.front()); end != queued_.end(); ++end) {
+        bytes += maxEncodedBytes(*end);
         if (bytes > maxBatchBytes)
             break;
     }
     Batch batch;
-    batch.items.assign(std::make_move_iterator(waiting_.begin()), std::make_move_iterator(end));
-    waiting_.erase(waiting_.begin(), end);
+    batch.items.assign(std::make_move_iterator(queued_.begin()), std::make_move_iterator(end));
+    queued_.erase(queued_.begin(), end);
     return batch;
 }
 
-std::size_t Outbox::sizeBound(const Item& item) noexcept
+std::size_t Outbox::maxEncodedBytes(const Item& item) noexcept
 {
-    // Origin, sequence, tags and lengths, and the numbers of any entry: eleven fields of at most ten bytes and a tag.
-    constexpr std::size_t numbers = 128;
+    // Origin, sequence, tags, lengths and the numbers of any entry: eleven fields of at most ten bytes and a tag each.
+    constexpr std::size_t maxNumberBytes = 128;
     if (std::holds_alternative<Bill>(item.entry))
-        return billBound;
+        return maxBillBytes;
     if (const auto* const checkpoint = std::get_if<Checkpoint>(&item.entry))
-        return numbers + checkpoint->state.size();
-    return numbers + 2 * maxNameBytes + maxKeyHashBytes;
+        return maxNumberBytes + checkpoint->state.size();
+    return maxNumberBytes + 2 * maxNameBytes + maxKeyHashBytes;
 }
 
 } // namespace swiftlift::ledger
--- a/src/ledger/Witness.cpp
+++ b/src/ledger/Witness.cpp
@@ -22,26 +22,28 @@
 {
     SendCeilingsAcked acked { from, {} };
     SendCeilingsRefused refused { from, {} };
-    for (const Ceiling& raise : ceilings) {
-        // W1: an acknowledgement after the seal would let the holder pass the sealed ceiling. Suspicion is for good.
-        if (suspected_.contains(from) || raise.grant.holder != from) {
-            refused.grants.push_back(raise.grant);
+    for (const Ceiling& request : ceilings) {
+        // Rule W1: an acknowledgement after the seal would let the holder spend more than the sealed ceiling. A
+        // suspicion is never withdrawn.
+        if (suspected_.contains(from) || request.grant.holder != from) {
+            refused.grants.push_back(request.grant);
             continue;
         }
-        // W2: a grant not read yet is passed over. The holder repeats its raise, and the grant may still be refused.
-        const std::optional<GrantView> grant = fold_->grant(raise.grant);
+        // Rule W2: a request for a grant that was not read from the log yet is skipped. The holder repeats the request,
+        // and the fold may still refuse the grant.
+        const std::optional<GrantView> grant = fold_->grant(request.grant);
         if (!grant)
             continue;
-        // W3: only the witness that the log names can seal, so only its word binds.
+        // Rule W3: only the witness that the log names can seal a grant, so only that witness may acknowledge ceilings.
         if (grant->witness != self_ || grant->state != GrantState::Open) {
-            refused.grants.push_back(raise.grant);
+            refused.grants.push_back(request.grant);
             continue;
         }
-        Tokens& highest = acknowledged_[raise.grant];
-        highest = std::max(highest, raise.ceiling);
-        if (raise.holderOnly)
-            holderOnly_.insert(raise.grant);
-        acked.ceilings.push_back(Ceiling { raise.grant, highest, holderOnly_.contains(raise.grant) });
+        Tokens& highest = acknowledged_[request.grant];
+        highest = std::max(highest, request.ceiling);
+        if (request.holderOnly)
+            holderOnly_.insert(request.grant);
+        acked.ceilings.push_back(Ceiling { request.grant, highest, holderOnly_.contains(request.grant) });
     }
     if (!acked.ceilings.empty())
         actions.emplace_back(std::move(acked));
@@ -55,15 +57,16 @@
         return;
     for (const GrantView& grant : fold_->openGrants()) {
         if (grant.id.holder == holder)
-            seal(grant, actions);
+            appendSeal(grant, actions);
     }
 }
 
-// W4: the seal states the highest ceiling ever acknowledged, under any tenure: an acknowledgement may reach the holder
-// late, after the grant has left this witness and come back.
-void Witness::seal(const GrantView& grant, LedgerActions& actions)
+// Rule W4: the seal states the highest ceiling that this witness ever acknowledged, including those from before a
+// change of witness: an acknowledgement may reach the holder late, after the grant has been moved to another witness
+// and back.
+void Witness::appendSeal(const GrantView& grant, LedgerActions& actions)
 {
-    if (grant.witness != self_ || grant.state != GrantState::Open || !sealing_.insert(grant.id).second)
+    if (grant.witness != self_ || grant.state != GrantState::Open || !sealAppended_.insert(grant.id).second)
         return;
     const auto found = acknowledged_.find(grant.id);
     const Tokens ceiling = found == acknowledged_.end() ? Tokens {} : found->second;
@@ -82,15 +85,15 @@
     const std::optional<GrantView> grant = fold_->grant(*changed);
     if (!grant) {
         acknowledged_.erase(*changed);
-        sealing_.erase(*changed);
+        sealAppended_.erase(*changed);
         holderOnly_.erase(*changed);
         return;
     }
-    // W5: a suspected holder's grant may land, or come here by a change, after the suspicion.
+    // Rule W5: a grant of a suspected holder may be drawn, or be moved to this witness, after the suspicion.
     if (grant->witness != self_)
-        sealing_.erase(*changed);
+        sealAppended_.erase(*changed);
     else if (suspected_.contains(changed->holder))
-        seal(*grant, actions);
+        appendSeal(*grant, actions);
 }
 
 std::vector<GrantId> Witness::sealed() const
@@ -112,7 +115,7 @@
         out << " acknowledged " << grant.holder << ':' << grant.number << ' ' << ceiling;
     for (const Incarnation holder : suspected_)
         out << " suspects " << holder;
-    for (const GrantId& grant : sealing_)
+    for (const GrantId& grant : sealAppended_)
         out << " sealing " << grant.holder << ':' << grant.number;
     for (const GrantId& grant : holderOnly_)
         out << " alone " << grant.holder << ':' << grant.number;
--- a/tests/ctl/LedgerChangeTest.cpp
+++ b/tests/ctl/LedgerChangeTest.cpp
@@ -107,7 +107,7 @@
     log_.beforeAppend = [&] { put(9, 1, ledger::TopUp { desk, Tokens(5) }); };
     const auto lost = close(2);
     EXPECT_EQ(lost.code, ExitCode::Refused);
-    EXPECT_THAT(lost.text, HasSubstr("the account was changed at offset 1 by another"));
+    EXPECT_THAT(lost.text, HasSubstr("the account was changed at offset 1 by another record"));
     EXPECT_EQ(close(3, Offset(0)).code, ExitCode::Refused);
     EXPECT_EQ(close(4).code, ExitCode::Ok);
     EXPECT_EQ(close(4).code, ExitCode::Ok) << "the same change, asked for again";
--- a/tests/ledger/CheckpointScheduleTest.cpp
+++ b/tests/ledger/CheckpointScheduleTest.cpp
@@ -9,17 +9,17 @@
 
     using namespace std::chrono_literals;
 
-    /** @return Moments at which any of the routers, started together, kept a checkpoint. */
-    std::vector<Instant> keptBy(std::uint32_t routers, Duration time)
+    /** @return Times at which any of the routers, which start together, wrote a checkpoint. */
+    std::vector<Instant> checkpointTimes(std::uint32_t routers, Duration duration)
     {
         std::vector<CheckpointSchedule> fleet;
         for (std::uint32_t router = 0; router < routers; ++router) {
             fleet.emplace_back(2s, 1 + router);
         }
         std::vector<Instant> kept;
-        for (Instant now { 100s }; now < Instant { 100s } + time; now += 50ms) {
-            for (CheckpointSchedule& turns : fleet) {
-                if (turns.due(now, routers)) {
+        for (Instant now { 100s }; now < Instant { 100s } + duration; now += 50ms) {
+            for (CheckpointSchedule& schedule : fleet) {
+                if (schedule.due(now, routers)) {
                     kept.push_back(now);
                 }
             }
@@ -27,24 +27,24 @@
         return kept;
     }
 
-    // Symptom: after a loss of power of all VMs, 5 s go by until the first request is served.
-    // Events: 81 routers started together 55 s before; each kept a checkpoint within its first 3 s, and none since.
-    // Cause: the next turn of each was a whole round, 162 s, later.
-    TEST(CheckpointScheduleTest, ComeOneAfterTheOtherAlsoWhenAllStartTogether)
+    // All VMs lost power 55 s after 81 routers had started together. Each router had written a checkpoint within its
+    // first 3 s and was due for the next one a whole round, 162 s, later. The routers had to read all records since,
+    // and the first request was served 5 s after the restart.
+    TEST(CheckpointScheduleTest, SpreadsCheckpointsOfRoutersThatStartTogether)
     {
-        const std::vector<Instant> kept = keptBy(81, 60s);
+        const std::vector<Instant> kept = checkpointTimes(81, 60s);
         EXPECT_GT(kept.size(), 15U);
         EXPECT_LT(kept.size(), 60U);
-        Instant before { 100s };
-        for (const Instant moment : kept) {
-            EXPECT_LT(moment - before, 15s);
-            before = moment;
+        Instant previous { 100s };
+        for (const Instant time : kept) {
+            EXPECT_LT(time - previous, 15s);
+            previous = time;
         }
     }
 
-    TEST(CheckpointScheduleTest, OneRouterAloneKeepsThemAnIntervalApartInTheMean)
+    TEST(CheckpointScheduleTest, CheckpointsOfASingleRouterAreOneIntervalApartOnAverage)
     {
-        const std::size_t kept = keptBy(1, 200s).size();
+        const std::size_t kept = checkpointTimes(1, 200s).size();
         EXPECT_GT(kept, 70U);
         EXPECT_LT(kept, 140U);
     }
--- a/tests/ledger/CheckpointTest.cpp
+++ b/tests/ledger/CheckpointTest.cpp
@@ -22,13 +22,13 @@
         take(carol, Claim { keyOf(2) });
     }
 
-    /** @return Why a fresh fold refuses this fold's checkpoint, changed by `spoil`. */
-    std::string reasonOf(const std::function<void(State&)>& spoil) const
+    /** @return Why a new fold refuses to restore this fold's checkpoint after `corrupt` has changed the state. */
+    std::string restoreFailure(const std::function<void(State&)>& corrupt) const
     {
         Checkpoint checkpoint = fold.checkpoint();
         State state;
         EXPECT_TRUE(state.ParseFromString(checkpoint.state));
-        spoil(state);
+        corrupt(state);
         checkpoint.state = state.SerializeAsString();
         Fold fresh;
         EXPECT_FALSE(fresh.restore(checkpoint));
@@ -38,7 +38,7 @@
     }
 };
 
-TEST_F(CheckpointTest, RestoresAllThatTheRulesLookAt)
+TEST_F(CheckpointTest, RestoresTheWholeState)
 {
     Fold fresh;
     ASSERT_TRUE(fresh.restore(fold.checkpoint())) << fresh.lastReason();
@@ -52,47 +52,53 @@
     EXPECT_EQ(fresh.lastSequence(bob), 3U);
 }
 
-// Symptom: a draw that was admitted is gone, and its money is admitted again.
-// Sequence: a reader that is ahead takes an old checkpoint from the log.
-// Cause: the fold went back.
-TEST_F(CheckpointTest, AReaderNeverGoesBack)
+// A reader restores a checkpoint that is older than its own state. It would lose an admitted draw, and the same tokens
+// would be admitted again.
+TEST_F(CheckpointTest, RefusesACheckpointOlderThanTheFold)
 {
     const Checkpoint old = fold.checkpoint();
     draw(carol, 1, 10);
     EXPECT_FALSE(fold.restore(old));
-    EXPECT_EQ(fold.lastReason(), "the checkpoint is older than what has been read");
+    EXPECT_EQ(fold.lastReason(), "the checkpoint is older than the records that were applied");
     EXPECT_EQ(grant(carol, 1).amount, Tokens { 10 });
 }
 
-TEST_F(CheckpointTest, AReaderInSyncIgnoresTheEntry)
+TEST_F(CheckpointTest, ApplyingACheckpointEntryChangesNoState)
 {
     const std::string before = fold.checkpoint().state;
-    take(carol, Checkpoint { Offset { 2 }, "not even a state" });
+    take(carol, Checkpoint { Offset { 2 }, "not an encoded state" });
     EXPECT_EQ(count<Landed>(), 1U);
     EXPECT_EQ(effects.size(), 1U);
     take(carol, Checkpoint { Offset { 1'000 }, before });
-    EXPECT_EQ(last<Refused>().reason, "the checkpoint is of records that come after it");
+    EXPECT_EQ(last<Refused>().reason, "the checkpoint covers records after its own offset");
 }
 
-// Symptom: a fresh reader admits draws that the others refuse.
-// Sequence: it starts from a checkpoint that is damaged, or was written by a release with other limits.
-// Cause: the state was taken in without a look at its sums.
-TEST_F(CheckpointTest, RefusesAStateThatIsNotSound)
+// A new reader starts from a checkpoint that is damaged, or that a release with other limits wrote. Without a check of
+// the state, the reader would admit draws that other readers refuse.
+TEST_F(CheckpointTest, RefusesAnInconsistentState)
 {
-    const std::string prefix = "the checkpoint can't be read: ";
-    EXPECT_EQ(reasonOf([](State& s) { s.set_rules_version(9); }), prefix + "its rules have version 9");
-    EXPECT_EQ(reasonOf([](State& s) { s.set_key_window(5); }), prefix + "it was written with other limits");
-    EXPECT_EQ(reasonOf([](State& s) { *s.add_accounts() = s.accounts(0); }), prefix + "an account stands twice");
-    EXPECT_EQ(reasonOf([](State& s) { s.clear_accounts(); }), prefix + "a budget has no account, or stands twice");
-    EXPECT_EQ(reasonOf([](State& s) { s.mutable_budgets(0)->set_closed(101); }), prefix + "a budget is out of bounds");
-    EXPECT_EQ(reasonOf([](State& s) { s.mutable_budgets(0)->set_bought(24); }), prefix + "a grant is out of bounds");
-    EXPECT_EQ(reasonOf([](State& s) { s.mutable_grants(0)->set_billed(26); }), prefix + "a grant is out of bounds");
-    EXPECT_EQ(reasonOf([](State& s) { s.mutable_grants(0)->set_amount(24); }),
-        prefix + "grant 1 of hall/desk is out of bounds");
-    EXPECT_EQ(reasonOf([](State& s) { s.clear_origins(); }), prefix + "a grant has no holder");
-    EXPECT_EQ(reasonOf([](State& s) { *s.add_origins() = s.origins(0); }), prefix + "an author stands twice");
-    EXPECT_EQ(reasonOf([](State& s) { s.add_bill_tokens(1); }), prefix + "the billed keys don't match their tokens");
-    EXPECT_EQ(reasonOf([](State& s) { s.add_claim_owners(1); }), prefix + "the claimed keys don't match their owners");
+    const std::string prefix = "the checkpoint can't be decoded: ";
+    EXPECT_EQ(restoreFailure([](State& s) { s.set_rules_version(9); }), prefix + "unknown rules version 9");
+    EXPECT_EQ(restoreFailure([](State& s) { s.set_key_window(5); }),
+        prefix + "the writer's limits of keys and authors differ from the reader's");
+    EXPECT_EQ(restoreFailure([](State& s) { *s.add_accounts() = s.accounts(0); }), prefix + "duplicate account");
+    EXPECT_EQ(restoreFailure([](State& s) { s.clear_accounts(); }),
+        prefix + "duplicate budget, or budget without an account");
+    EXPECT_EQ(restoreFailure([](State& s) { s.mutable_budgets(0)->set_closed(101); }),
+        prefix + "the billed tokens of a budget's closed grants must be between 0 and the tokens bought");
+    EXPECT_EQ(restoreFailure([](State& s) { s.mutable_budgets(0)->set_bought(24); }),
+        prefix + "the held, billed or floor tokens of a grant are out of bounds");
+    EXPECT_EQ(restoreFailure([](State& s) { s.mutable_grants(0)->set_billed(26); }),
+        prefix + "the held, billed or floor tokens of a grant are out of bounds");
+    EXPECT_EQ(restoreFailure([](State& s) { s.mutable_grants(0)->set_amount(24); }),
+        prefix + "grant 1 of hall/desk violates 0 <= billed <= held <= amount");
+    EXPECT_EQ(restoreFailure([](State& s) { s.clear_origins(); }),
+        prefix + "the holder of a grant is missing, or its highest grant number is too low");
+    EXPECT_EQ(restoreFailure([](State& s) { *s.add_origins() = s.origins(0); }), prefix + "duplicate author");
+    EXPECT_EQ(restoreFailure([](State& s) { s.add_bill_tokens(1); }),
+        prefix + "the numbers of billed keys and of their tokens differ, or exceed the limit");
+    EXPECT_EQ(restoreFailure([](State& s) { s.add_claim_owners(1); }),
+        prefix + "the numbers of claimed keys and of their owners differ, or exceed the limit");
     EXPECT_FALSE(Fold().restore(Checkpoint { {}, "\xff" }));
 }
 
--- a/tests/ledger/EntryCodecTest.cpp
+++ b/tests/ledger/EntryCodecTest.cpp
@@ -26,12 +26,12 @@
         return batch;
     }
 
-    /** @return The reason for which a batch with one item, changed by `spoil`, is void. */
-    std::string reasonOf(const Entry& entry, const std::function<void(pb::Item&)>& spoil)
+    /** @return Why a batch with one item cannot be decoded after `corrupt` has changed the item. */
+    std::string decodeFailure(const Entry& entry, const std::function<void(pb::Item&)>& corrupt)
     {
         pb::Batch bytes;
         EXPECT_TRUE(bytes.ParseFromString(encode(batchOf({ entry }))));
-        spoil(*bytes.mutable_items(0));
+        corrupt(*bytes.mutable_items(0));
         std::string reason;
         EXPECT_EQ(decodeBatch(bytes.SerializeAsString(), reason), std::nullopt);
         return reason;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST(EntryCodecTest, GivesBackEachKindOfEntry)
+TEST(EntryCodecTest, DecodesEachKindOfEntryAsEncoded)
 {
     const Batch batch = batchOf({ OpenAccount { budget.account, std::string(maxKeyHashBytes, 'a') },
         CloseAccount { budget.account, Offset { 7 } }, TopUp { budget, Tokens { 100 } },
@@ -53,10 +53,10 @@
     EXPECT_EQ(reason, "");
 }
 
-// Symptom: a reader of an older release guesses at a record, and two readers hold the same money.
-// Sequence: a newer release appends an entry that the older one does not know.
-// Cause: the unknown part was skipped. The version goes first: the fold stops there.
-TEST(EntryCodecTest, LeavesLaterRulesToTheFold)
+// A newer release appends an entry of a kind that an older release does not know. If the older release skipped the
+// entry, two readers would have different states and could admit the same tokens. The decoder returns the version
+// without the items, so that the fold stops at the record.
+TEST(EntryCodecTest, ReturnsABatchOfNewerRulesWithoutItsItems)
 {
     Batch batch = batchOf({ Claim { key } });
     batch.version = rulesVersion + 1;
@@ -64,54 +64,55 @@
     EXPECT_EQ(decodeBatch(encode(batch), reason), (Batch { rulesVersion + 1, {} }));
 }
 
-TEST(EntryCodecTest, RefusesWhatNoAuthorWrites)
+TEST(EntryCodecTest, RefusesItemsWithMissingOrTooLongFields)
 {
     const Draw draw { grant, budget, Tokens { 50 }, Tokens { 10 }, witness };
-    EXPECT_EQ(reasonOf(draw, [](pb::Item& item) { item.clear_origin(); }), "an item without author or sequence");
-    EXPECT_EQ(reasonOf(draw, [](pb::Item& item) { item.clear_sequence(); }), "an item without author or sequence");
-    EXPECT_EQ(
-        reasonOf(draw, [](pb::Item& item) { item.clear_entry(); }), "an item without an entry that these rules know");
-    EXPECT_EQ(
-        reasonOf(draw, [](pb::Item& item) { item.mutable_draw()->clear_grant(); }), "a grant without holder or number");
-    EXPECT_EQ(
-        reasonOf(draw, [](pb::Item& item) { item.mutable_draw()->clear_budget(); }), "a name with a length of 0 bytes");
+    EXPECT_EQ(decodeFailure(draw, [](pb::Item& item) { item.clear_origin(); }), "item without author or sequence");
+    EXPECT_EQ(decodeFailure(draw, [](pb::Item& item) { item.clear_sequence(); }), "item without author or sequence");
+    EXPECT_EQ(decodeFailure(draw, [](pb::Item& item) { item.clear_entry(); }), "item without an entry of a known kind");
+    EXPECT_EQ(decodeFailure(draw, [](pb::Item& item) { item.mutable_draw()->clear_grant(); }),
+        "grant without holder or number");
+    EXPECT_EQ(decodeFailure(draw, [](pb::Item& item) { item.mutable_draw()->clear_budget(); }),
+        "name of an account or budget with a length of 0 bytes");
     const std::string longName(maxNameBytes + 1, 'x');
-    EXPECT_EQ(reasonOf(draw, [&](pb::Item& item) { item.mutable_draw()->mutable_budget()->set_account(longName); }),
-        "a name with a length of 129 bytes");
-    EXPECT_EQ(reasonOf(OpenAccount { AccountId { "a" }, "hash" },
+    EXPECT_EQ(
+        decodeFailure(draw, [&](pb::Item& item) { item.mutable_draw()->mutable_budget()->set_account(longName); }),
+        "name of an account or budget with a length of 129 bytes");
+    EXPECT_EQ(decodeFailure(OpenAccount { AccountId { "a" }, "hash" },
                   [](pb::Item& item) { item.mutable_open_account()->set_key_hash(std::string(65, 'a')); }),
-        "a key's hash with a length of 65 bytes");
+        "key hash with a length of 65 bytes");
 }
 
 TEST(EntryCodecTest, RefusesNegativeTokens)
 {
-    const std::string reason = "a negative number of tokens";
-    EXPECT_EQ(reasonOf(TopUp { budget, {} }, [](pb::Item& i) { i.mutable_top_up()->set_tokens(-1); }), reason);
+    const std::string reason = "negative number of tokens";
+    EXPECT_EQ(decodeFailure(TopUp { budget, {} }, [](pb::Item& i) { i.mutable_top_up()->set_tokens(-1); }), reason);
+    EXPECT_EQ(decodeFailure(Draw { grant, budget, {}, {}, {} }, [](pb::Item& i) { i.mutable_draw()->set_wanted(-1); }),
+        reason);
+    EXPECT_EQ(decodeFailure(Draw { grant, budget, {}, {}, {} }, [](pb::Item& i) { i.mutable_draw()->set_least(-1); }),
+        reason);
     EXPECT_EQ(
-        reasonOf(Draw { grant, budget, {}, {}, {} }, [](pb::Item& i) { i.mutable_draw()->set_wanted(-1); }), reason);
+        decodeFailure(Return { grant, {} }, [](pb::Item& i) { i.mutable_return_part()->set_tokens(-1); }), reason);
+    EXPECT_EQ(decodeFailure(Bill { key, grant, {} }, [](pb::Item& i) { i.mutable_bill()->set_tokens(-1); }), reason);
     EXPECT_EQ(
-        reasonOf(Draw { grant, budget, {}, {}, {} }, [](pb::Item& i) { i.mutable_draw()->set_least(-1); }), reason);
-    EXPECT_EQ(reasonOf(Return { grant, {} }, [](pb::Item& i) { i.mutable_return_part()->set_tokens(-1); }), reason);
-    EXPECT_EQ(reasonOf(Bill { key, grant, {} }, [](pb::Item& i) { i.mutable_bill()->set_tokens(-1); }), reason);
-    EXPECT_EQ(reasonOf(Seal { grant, witness, {} }, [](pb::Item& i) { i.mutable_seal()->set_ceiling(-1); }), reason);
-    EXPECT_EQ(reasonOf(ChangeWitness { grant, witness, {} },
+        decodeFailure(Seal { grant, witness, {} }, [](pb::Item& i) { i.mutable_seal()->set_ceiling(-1); }), reason);
+    EXPECT_EQ(decodeFailure(ChangeWitness { grant, witness, {} },
                   [](pb::Item& i) { i.mutable_change_witness()->set_ceiling(-1); }),
         reason);
 }
 
-TEST(EntryCodecTest, RefusesBytesThatAreNoBatch)
+TEST(EntryCodecTest, RefusesBytesThatAreNotAnEncodedBatch)
 {
     std::string reason;
     EXPECT_EQ(decodeBatch("", reason), std::nullopt);
-    EXPECT_EQ(reason, "a batch without a version of its rules");
+    EXPECT_EQ(reason, "batch without a rules version");
     EXPECT_EQ(decodeBatch("\xff\xff\xff", reason), std::nullopt);
-    EXPECT_EQ(reason, "the bytes are no batch");
+    EXPECT_EQ(reason, "the bytes are not an encoded batch");
 }
 
-// Symptom: a reader ends on a damaged record and every restart meets it again.
-// Sequence: a record is cut short or has a bit turned over; it is read.
-// Cause: a decoder that trusts lengths or kinds.
-TEST(EntryCodecTest, SurvivesEachCutAndEachTurnedBit)
+// A record in the log is truncated or has a flipped bit. A decoder that trusts lengths or kinds would end the process,
+// again after each restart.
+TEST(EntryCodecTest, SurvivesEachTruncationAndEachFlippedBit)
 {
     const std::string record
         = encode(batchOf({ Draw { grant, budget, Tokens { 50 }, Tokens { 10 }, witness }, Bill { key, grant, {} } }));
--- a/tests/ledger/FoldFixture.h
+++ b/tests/ledger/FoldFixture.h
@@ -13,7 +13,7 @@
 
 namespace swiftlift::ledger {
 
-/** One fold of one budget, and authors that number their items. */
+/** Fold with one budget, and authors whose items are numbered by the fixture. */
 class FoldFixture : public testing::Test {
 protected:
     static constexpr Incarnation operators { 1 };
@@ -25,7 +25,7 @@
     static GrantId grantOf(Incarnation holder, std::uint32_t number) { return GrantId { holder, number }; }
     static RequestKey keyOf(std::uint64_t low) { return RequestKey { 7, low }; }
 
-    /** Applies one batch; the effects stay for `last` and `count`. */
+    /** Applies one batch as the next record. `effects` then holds the effects of this batch only. */
     void apply(const Batch& batch)
     {
         effects.clear();
@@ -33,25 +33,26 @@
         EXPECT_EQ(fold.inconsistency(), "");
     }
 
-    /** Applies the author's next entry as a record. */
+    /** Applies a record with one item: the author's next sequence and `entry`. */
     void take(Incarnation origin, Entry entry)
     {
         apply(Batch { rulesVersion, { Item { origin, ++sequences[origin], std::move(entry) } } });
     }
 
-    /** Opens the account and buys. */
+    /** Opens the account and tops the budget up with `bought` tokens, as operators. */
     void open(std::int64_t bought)
     {
         take(operators, OpenAccount { budget.account, "hash" });
         take(operators, TopUp { budget, Tokens { bought } });
     }
 
-    /** Draws the holder's grant. */
+    /** Applies a draw of `wanted` tokens without a minimum. */
     void draw(Incarnation holder, std::uint32_t number, std::int64_t wanted, Incarnation witness = {})
     {
         take(holder, Draw { grantOf(holder, number), budget, Tokens { wanted }, {}, witness });
     }
 
+    /** @return State of the budget. */
     BudgetView view() const { return fold.budget(budget).value_or(BudgetView {}); }
 
     GrantView grant(Incarnation holder, std::uint32_t number) const
@@ -59,6 +60,7 @@
         return fold.grant(grantOf(holder, number)).value_or(GrantView {});
     }
 
+    /** @return Number of effects of this kind in the last batch. */
     template <typename Kind> std::size_t count() const
     {
         std::size_t found = 0;
@@ -67,7 +69,7 @@
         return found;
     }
 
-    /** @return The latest effect of this kind; an empty one when there is none. */
+    /** @return The last effect of this kind in the last batch; a default-constructed effect when there is none. */
     template <typename Kind> Kind last() const
     {
         Kind kind {};
--- a/tests/ledger/FoldPropertyTest.cpp
+++ b/tests/ledger/FoldPropertyTest.cpp
@@ -18,20 +18,20 @@
 
     using Log = std::vector<Batch>;
 
-    constexpr FoldLimits tight { 6, 3 };
+    constexpr FoldLimits smallLimits { 6, 3 };
     constexpr std::uint64_t authors = 5;
 
-    /** The library draws from a smaller range early on; here each log has the whole range of each value. */
-    template <typename Value> Value pick(Value from, Value end)
+    /** RapidCheck takes values from a smaller range in early test cases; here each test case has the whole range. */
+    template <typename Value> Value anyInRange(Value from, Value end)
     {
         return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(from, end));
     }
 
-    Tokens anyTokens() { return Tokens { pick<std::int64_t>(-1, 60) }; }
+    Tokens anyTokens() { return Tokens { anyInRange<std::int64_t>(-1, 60) }; }
 
-    Tokens fewTokens() { return Tokens { pick<std::int64_t>(-1, 12) }; }
+    Tokens fewTokens() { return Tokens { anyInRange<std::int64_t>(-1, 12) }; }
 
-    Incarnation anyAuthor() { return Incarnation { pick<std::uint64_t>(1, authors + 1) }; }
+    Incarnation anyAuthor() { return Incarnation { anyInRange<std::uint64_t>(1, authors + 1) }; }
 
     BudgetRef anyBudget()
     {
@@ -39,10 +39,10 @@
             BudgetId { *rc::gen::weightedElement<std::string>({ { 7, "desk" }, { 1, "draft" } }) } };
     }
 
-    RequestKey anyKey() { return { 0, pick<std::uint64_t>(0, 16) }; }
+    RequestKey anyKey() { return { 0, anyInRange<std::uint64_t>(0, 16) }; }
 
-    /** Writes a log: each author's batches in order, the authors in any order, any batch repeated at any later place.
-     */
+    /** Generates a log: each author's batches are in order, the authors are interleaved at random, and any batch may be
+     * repeated at any later position. */
     class LogWriter {
     public:
         [[nodiscard]] Log write()
@@ -51,33 +51,37 @@
             Log log;
             for (const char* const account : { "hall", "farm" }) {
                 const BudgetRef budget { AccountId { account }, BudgetId { "desk" } };
-                log.push_back(Batch { rulesVersion, { item(operators, OpenAccount { budget.account, "h" }) } });
-                log.push_back(Batch { rulesVersion, { item(operators, TopUp { budget, Tokens { 100 } }) } });
+                log.push_back(Batch { rulesVersion, { makeItem(operators, OpenAccount { budget.account, "h" }) } });
+                log.push_back(Batch { rulesVersion, { makeItem(operators, TopUp { budget, Tokens { 100 } }) } });
             }
-            const int size = pick(0, 160);
+            const int size = anyInRange(0, 160);
             for (int i = 0; i < size; ++i)
-                log.push_back(pick(0, 4) == 0 ? *rc::gen::elementOf(log) : batch());
+                log.push_back(anyInRange(0, 4) == 0 ? *rc::gen::elementOf(log) : makeBatch());
             return log;
         }
 
     private:
-        Item item(Incarnation origin, Entry entry) { return Item { origin, ++sequences_[origin], std::move(entry) }; }
+        Item makeItem(Incarnation origin, Entry entry)
+        {
+            return Item { origin, ++sequences_[origin], std::move(entry) };
+        }
 
-        Batch batch()
+        Batch makeBatch()
         {
             const Incarnation origin = anyAuthor();
-            Batch made;
-            // Now and then an append of this author is lost for good, which leaves a hole.
-            if (pick(0, 100) == 0)
+            Batch batch;
+            // In one of 100 batches, an earlier append of the author is lost for good, which leaves a gap in its
+            // sequence.
+            if (anyInRange(0, 100) == 0)
                 ++sequences_[origin];
-            for (int left = pick(1, 4); left > 0; --left)
-                made.items.push_back(item(origin, entry(origin)));
-            return made;
+            for (int left = anyInRange(1, 4); left > 0; --left)
+                batch.items.push_back(makeItem(origin, makeEntry(origin)));
+            return batch;
         }
 
-        GrantId ownGrant(Incarnation origin) { return { origin, pick<std::uint32_t>(1, numbers_[origin] + 2) }; }
+        GrantId ownGrant(Incarnation origin) { return { origin, anyInRange<std::uint32_t>(1, numbers_[origin] + 2) }; }
 
-        Entry entry(Incarnation origin)
+        Entry makeEntry(Incarnation origin)
         {
             const Incarnation other = anyAuthor();
             switch (*rc::gen::weightedElement<int>({ { 4, 0 }, { 6, 1 }, { 2, 2 }, { 1, 3 }, { 2, 4 }, { 3, 5 },
@@ -101,7 +105,7 @@
             case 8:
                 return VoidClaim { anyKey() };
             default:
-                return CloseAccount { anyBudget().account, Offset { pick<std::uint64_t>(0, 60) } };
+                return CloseAccount { anyBudget().account, Offset { anyInRange<std::uint64_t>(0, 60) } };
             }
         }
 
@@ -109,8 +113,8 @@
         std::map<Incarnation, std::uint32_t> numbers_;
     };
 
-    /** Reads the log from the fold's next offset on. */
-    std::vector<Effect> read(Fold& fold, const Log& log, std::size_t end)
+    /** Applies the records of the log from the fold's next offset to `end`, exclusive. */
+    std::vector<Effect> applyUpTo(Fold& fold, const Log& log, std::size_t end)
     {
         std::vector<Effect> effects;
         for (std::size_t at = fold.nextOffset().value(); at < end; ++at)
@@ -118,7 +122,7 @@
         return effects;
     }
 
-    /** @return The log with an empty record in place of each repeat. */
+    /** @return The log with each repeated batch replaced by an empty batch. */
     Log withoutRepeats(const Log& log)
     {
         Log first;
@@ -139,14 +143,14 @@
 
 } // namespace
 
-RC_GTEST_PROP(FoldProperty, HoldsNeverMoreThanWasBought, ())
+RC_GTEST_PROP(FoldProperty, ABudgetNeverHoldsMoreThanWasBought, ())
 {
     const Log log = LogWriter().write();
     Fold fold;
     std::size_t admitted = 0;
     std::size_t sealed = 0;
     for (std::size_t end = 1; end <= log.size(); ++end) {
-        for (const Effect& effect : read(fold, log, end)) {
+        for (const Effect& effect : applyUpTo(fold, log, end)) {
             const DrawDecided* const draw = std::get_if<DrawDecided>(&effect);
             const GrantChanged* const change = std::get_if<GrantChanged>(&effect);
             admitted += draw && draw->admitted > Tokens {} ? 1 : 0;
@@ -158,17 +162,17 @@
             RC_ASSERT(fold.budget(ref)->held <= fold.budget(ref)->bought);
         }
     }
-    RC_CLASSIFY(admitted > 2, "three draws and more were admitted");
-    RC_CLASSIFY(sealed > 0, "a grant was sealed");
+    RC_CLASSIFY(admitted > 2, "at least three draws were admitted");
+    RC_CLASSIFY(sealed > 0, "at least one grant was sealed");
 }
 
-RC_GTEST_PROP(FoldProperty, BillsEachKeyAtMostOnceAndCountsIt, ())
+RC_GTEST_PROP(FoldProperty, BillsEachKeyAtMostOnceAndAddsItToTheBudget, ())
 {
     const Log log = LogWriter().write();
     Fold fold;
     std::set<RequestKey> keys;
     Tokens sum;
-    for (const Effect& effect : read(fold, log, log.size())) {
+    for (const Effect& effect : applyUpTo(fold, log, log.size())) {
         const BillDecided* const bill = std::get_if<BillDecided>(&effect);
         if (!bill || !bill->counted)
             continue;
@@ -179,7 +183,7 @@
     for (const BudgetRef& ref : fold.budgets())
         sum -= fold.budget(ref)->billed;
     RC_ASSERT(sum == Tokens {});
-    RC_CLASSIFY(keys.size() > 2, "three bills and more counted");
+    RC_CLASSIFY(keys.size() > 2, "at least three bills counted");
 }
 
 RC_GTEST_PROP(FoldProperty, LandsEachItemOnceInOrder, ())
@@ -187,18 +191,18 @@
     const Log log = LogWriter().write();
     Fold fold;
     std::map<Incarnation, std::uint64_t> last;
-    for (const Effect& effect : read(fold, log, log.size())) {
+    for (const Effect& effect : applyUpTo(fold, log, log.size())) {
         if (const Landed* const landed = std::get_if<Landed>(&effect))
             RC_ASSERT(landed->sequence == ++last[landed->origin]);
     }
 }
 
-RC_GTEST_PROP(FoldProperty, TheFirstOwnerOfAKeyStandsOrIsVoid, ())
+RC_GTEST_PROP(FoldProperty, AKeyKeepsItsFirstOwnerOrIsVoid, ())
 {
     const Log log = LogWriter().write();
     Fold fold;
     std::map<RequestKey, Incarnation> owners;
-    for (const Effect& effect : read(fold, log, log.size())) {
+    for (const Effect& effect : applyUpTo(fold, log, log.size())) {
         const ClaimDecided* const claim = std::get_if<ClaimDecided>(&effect);
         if (!claim)
             continue;
@@ -208,11 +212,11 @@
     }
 }
 
-RC_GTEST_PROP(FoldProperty, EqualPrefixesGiveEqualBytes, ())
+RC_GTEST_PROP(FoldProperty, EqualPrefixesGiveEqualCheckpoints, ())
 {
     const Log log = LogWriter().write();
-    Fold left(tight);
-    Fold right(tight);
+    Fold left(smallLimits);
+    Fold right(smallLimits);
     std::string reason;
     for (std::size_t at = 0; at < log.size(); ++at) {
         std::vector<Effect> effects;
@@ -222,27 +226,27 @@
     }
 }
 
-RC_GTEST_PROP(FoldProperty, ACheckpointAndTheRestGiveTheWhole, ())
+RC_GTEST_PROP(FoldProperty, RestoringACheckpointGivesTheSameStateAsReadingAllRecords, ())
 {
     const Log log = LogWriter().write();
-    const FoldLimits limits = *rc::gen::element(FoldLimits {}, tight);
-    const auto cut = pick<std::size_t>(0, log.size() + 1);
+    const FoldLimits limits = *rc::gen::element(FoldLimits {}, smallLimits);
+    const auto cut = anyInRange<std::size_t>(0, log.size() + 1);
     Fold whole(limits);
-    read(whole, log, cut);
+    applyUpTo(whole, log, cut);
     Fold restored(limits);
     RC_ASSERT(restored.restore(whole.checkpoint()));
     RC_ASSERT(restored.checkpoint() == whole.checkpoint());
-    RC_ASSERT(kindsOf(read(restored, log, log.size())) == kindsOf(read(whole, log, log.size())));
+    RC_ASSERT(kindsOf(applyUpTo(restored, log, log.size())) == kindsOf(applyUpTo(whole, log, log.size())));
     RC_ASSERT(restored.checkpoint() == whole.checkpoint());
 }
 
-RC_GTEST_PROP(FoldProperty, RepeatsAreHarmless, ())
+RC_GTEST_PROP(FoldProperty, RepeatedBatchesChangeNothing, ())
 {
     const Log log = LogWriter().write();
     Fold fold;
     Fold reference;
-    read(fold, log, log.size());
-    read(reference, withoutRepeats(log), log.size());
+    applyUpTo(fold, log, log.size());
+    applyUpTo(reference, withoutRepeats(log), log.size());
     RC_ASSERT(fold.checkpoint() == reference.checkpoint());
 }
 
--- a/tests/ledger/FoldTest.cpp
+++ b/tests/ledger/FoldTest.cpp
@@ -8,7 +8,7 @@
 
 namespace swiftlift::ledger {
 
-TEST_F(FoldFixture, CountsAnAuthorsItemsInSequence)
+TEST_F(FoldFixture, AppliesAnAuthorsItemsInSequence)
 {
     open(100);
     draw(alice, 1, 10);
@@ -18,10 +18,9 @@
     EXPECT_EQ(fold.lastSequence(bob), 0U);
 }
 
-// Symptom: a budget is bought twice, or a draw is granted twice.
-// Sequence: an append lands, its answer is lost, its author makes it again, and both stand in the log.
-// Cause: the second copy counted as a new item (S5).
-TEST_F(FoldFixture, IgnoresARepeatWithoutAWord)
+// An append lands, its response is lost, and the author repeats the append, so the log contains the item twice. If both
+// copies counted, a budget would be topped up twice, or a draw granted twice (rule S5).
+TEST_F(FoldFixture, IgnoresARepeatedItemWithoutAnEffect)
 {
     open(100);
     apply(Batch { rulesVersion, { Item { operators, 2, TopUp { budget, Tokens { 100 } } } } });
@@ -29,38 +28,36 @@
     EXPECT_EQ(view().bought, Tokens { 100 });
 }
 
-// Symptom: a router acts on a state that its author never saw.
-// Sequence: an author's append is lost for good, a later one lands.
-// Cause: a hole in the author's sequence was passed over (S5).
-TEST_F(FoldFixture, RefusesAnItemAfterAHole)
+// An author's append is lost for good and a later one lands. If the gap in the sequence were skipped, the later item
+// would be applied to a state that its author did not create it for (rule S5).
+TEST_F(FoldFixture, RefusesAnItemAfterAGapInTheSequence)
 {
     open(100);
     apply(Batch { rulesVersion, { Item { alice, 2, Draw { grantOf(alice, 1), budget, Tokens { 10 }, {}, {} } } } });
-    EXPECT_EQ(last<Refused>().reason, "sequence 2 comes after 0");
+    EXPECT_EQ(last<Refused>().reason, "sequence 2 follows 0");
     EXPECT_EQ(count<Landed>(), 0U);
     EXPECT_EQ(view().held, Tokens {});
 }
 
-TEST_F(FoldFixture, RefusesAGapAndARecordThatWasRead)
+TEST_F(FoldFixture, RefusesARecordAfterAGapAndARecordAppliedBefore)
 {
     EXPECT_FALSE(fold.apply(Offset { 1 }, Batch {}, effects));
-    EXPECT_EQ(fold.lastReason(), "record 1 is not the next one, which is 0");
+    EXPECT_EQ(fold.lastReason(), "record 1 is not the next record, which is 0");
     ASSERT_TRUE(fold.apply(Offset { 0 }, Batch {}, effects));
     EXPECT_FALSE(fold.apply(Offset { 0 }, Batch {}, effects));
     EXPECT_EQ(fold.nextOffset(), Offset { 1 });
 }
 
-// Symptom: two releases admit the same money to two holders.
-// Sequence: a newer release appends by rules that the older one does not know; the older one reads on.
-// Cause: the rules' version was not looked at (S14).
-TEST_F(FoldFixture, StopsAtLaterRules)
+// A newer release appends a batch with rules that an older release does not know. If the older release applied the
+// batch, the two releases could admit the same tokens to two holders (rule S14).
+TEST_F(FoldFixture, StopsAtAnUnknownRulesVersion)
 {
     EXPECT_FALSE(fold.apply(Offset {}, Batch { rulesVersion + 1, {} }, effects));
     EXPECT_FALSE(fold.apply(Offset {}, Batch { 0, {} }, effects));
     EXPECT_EQ(fold.nextOffset(), Offset {});
 }
 
-TEST_F(FoldFixture, TheFirstOpeningOfAnAccountWins)
+TEST_F(FoldFixture, RefusesToOpenAnAccountTwice)
 {
     take(operators, OpenAccount { budget.account, "first" });
     take(alice, OpenAccount { budget.account, "second" });
@@ -69,10 +66,9 @@
     EXPECT_EQ(fold.account(budget.account)->keyHash, "first");
 }
 
-// Symptom: an account is closed though another operator has just topped it up.
-// Sequence: two operators act on the same state; one tops up, then the other's closing lands.
-// Cause: the closing did not name the state it was meant for.
-TEST_F(FoldFixture, ClosesAnAccountOnlyAsTheOperatorSawIt)
+// Two operators act on the same state: one tops the account up, then the other one's closing lands. Without the
+// expected revision, the closing would close an account that has just been topped up.
+TEST_F(FoldFixture, ClosesAnAccountOnlyAtTheExpectedRevision)
 {
     open(100);
     const Offset seen = fold.account(budget.account)->revision;
@@ -93,7 +89,7 @@
 TEST_F(FoldFixture, ATopUpNeedsAnAccountAndAnAmount)
 {
     take(operators, TopUp { budget, Tokens { 5 } });
-    EXPECT_EQ(last<Refused>().reason, "no such account");
+    EXPECT_EQ(last<Refused>().reason, "the account does not exist");
     open(100);
     for (const std::int64_t amount :
         { std::int64_t { 0 }, std::int64_t { -1 }, std::numeric_limits<std::int64_t>::max() }) {
@@ -103,7 +99,7 @@
     EXPECT_EQ(view().bought, Tokens { 100 });
 }
 
-TEST_F(FoldFixture, AdmitsADrawUpToWhatWasBought)
+TEST_F(FoldFixture, AdmitsDrawsUpToTheTokensBought)
 {
     open(100);
     draw(alice, 1, 60);
@@ -115,7 +111,7 @@
     EXPECT_EQ(count<Refused>(), 0U);
 }
 
-TEST_F(FoldFixture, AdmitsNothingBelowTheLeast)
+TEST_F(FoldFixture, AdmitsNothingBelowTheMinimumOfTheDraw)
 {
     open(100);
     take(alice, Draw { grantOf(alice, 1), budget, Tokens { 150 }, Tokens { 101 }, {} });
@@ -126,21 +122,21 @@
     EXPECT_EQ(fold.openGrants().size(), 0U);
 }
 
-TEST_F(FoldFixture, RefusesADrawForAnotherOrWithAnOldNumber)
+TEST_F(FoldFixture, RefusesADrawByAnotherAuthorOrWithAUsedNumber)
 {
     open(100);
     take(bob, Draw { grantOf(alice, 1), budget, Tokens { 10 }, {}, {} });
-    EXPECT_EQ(last<Refused>().reason, "a draw is made by the grant's holder");
+    EXPECT_EQ(last<Refused>().reason, "the author of a draw must be the holder of the grant");
     draw(alice, 2, 10);
     for (const std::uint32_t number : { 1U, 2U }) {
         draw(alice, number, 10);
-        EXPECT_EQ(last<Refused>().reason, "the grant's number is not higher than 2");
+        EXPECT_EQ(last<Refused>().reason, "the grant's number must be higher than 2");
         EXPECT_EQ(last<DrawDecided>().admitted, Tokens {});
     }
     EXPECT_EQ(view().held, Tokens { 10 });
 }
 
-TEST_F(FoldFixture, AReturnFreesWhatWasNotBilled)
+TEST_F(FoldFixture, AReturnFreesOnlyTokensThatWereNotBilled)
 {
     open(100);
     draw(alice, 1, 50);
@@ -148,16 +144,15 @@
     take(alice, Return { grantOf(alice, 1), Tokens { 31 } });
     EXPECT_EQ(count<Refused>(), 1U);
     take(bob, Return { grantOf(alice, 1), Tokens { 10 } });
-    EXPECT_EQ(last<Refused>().reason, "only the grant's holder may do that");
+    EXPECT_EQ(last<Refused>().reason, "only the holder of the grant may append this entry");
     take(alice, Return { grantOf(alice, 1), Tokens { 30 } });
     EXPECT_EQ(view().held, Tokens { 20 });
     EXPECT_EQ(view().available(), Tokens { 80 });
 }
 
-// Symptom: a request is billed to money that its holder gave back, and the budget is overspent.
-// Sequence: a holder closes a grant; a bill on it, or a second closing, lands afterwards.
-// Cause: a closed grant is no longer in memory, and an unknown one was taken for a new one (S12).
-TEST_F(FoldFixture, AClosedGrantTakesNothingMore)
+// A holder closes a grant, and a bill on the grant or a second closing lands afterwards. The fold no longer stores the
+// closed grant. If the fold took the grant for a new one, the budget would be overspent (rule S12).
+TEST_F(FoldFixture, RefusesEntriesOnAClosedGrant)
 {
     open(100);
     draw(alice, 1, 50);
@@ -166,17 +161,17 @@
     EXPECT_EQ(last<GrantChanged>().state, GrantState::Closed);
     EXPECT_EQ(fold.grant(grantOf(alice, 1)), std::nullopt);
     EXPECT_EQ(view().held, Tokens { 20 });
-    const std::string reason = "the grant is closed, or was never admitted";
+    const std::string reason = "the grant is closed or was never admitted";
     take(bob, Bill { keyOf(2), grantOf(alice, 1), Tokens { 1 } });
     EXPECT_EQ(last<Refused>().reason, reason);
     take(alice, CloseGrant { grantOf(alice, 1) });
     EXPECT_EQ(last<Refused>().reason, reason);
     take(bob, Bill { keyOf(2), grantOf(alice, 2), Tokens { 1 } });
-    EXPECT_EQ(last<Refused>().reason, "no such grant");
+    EXPECT_EQ(last<Refused>().reason, "the grant does not exist");
     EXPECT_EQ(view().billed, Tokens { 20 });
 }
 
-TEST_F(FoldFixture, ASealHoldsTheHighestKnownCeiling)
+TEST_F(FoldFixture, ASealSetsTheHighestKnownCeiling)
 {
     open(400);
     draw(alice, 1, 100, bob);
@@ -193,7 +188,7 @@
     EXPECT_EQ(view().held, Tokens { 230 });
 }
 
-TEST_F(FoldFixture, TheFloorStaysBetweenWhatIsBilledAndTheGrant)
+TEST_F(FoldFixture, TheFloorStaysBetweenBilledTokensAndTheGrantsAmount)
 {
     open(100);
     draw(alice, 1, 50, bob);
@@ -207,16 +202,16 @@
     EXPECT_EQ(grant(alice, 1).floor, Tokens { 40 });
 }
 
-// Symptom: a holder spends beyond what a seal left it, and the freed rest is spent again by another.
-// Sequence: a holder changes its witness; the old one, which knows a lower ceiling, seals later in the log.
-// Cause: a seal by someone who no longer is the witness counted (S8).
-TEST_F(FoldFixture, OnlyThePresentWitnessSeals)
+// A holder changes its witness, and the previous witness, which knows a lower ceiling, seals the grant later in the
+// log. If that seal counted, the holder could spend more than the sealed ceiling, and the freed tokens would be spent
+// twice (rule S8).
+TEST_F(FoldFixture, OnlyThePresentWitnessMaySeal)
 {
     open(100);
     draw(alice, 1, 100, bob);
     take(alice, ChangeWitness { grantOf(alice, 1), carol, Tokens { 40 } });
     take(bob, Seal { grantOf(alice, 1), bob, Tokens { 10 } });
-    EXPECT_EQ(last<Refused>().reason, "only the grant's witness may seal it");
+    EXPECT_EQ(last<Refused>().reason, "only the witness of the grant may seal it");
     take(bob, Seal { grantOf(alice, 1), carol, Tokens { 10 } });
     EXPECT_EQ(count<Refused>(), 1U);
     take(carol, Seal { grantOf(alice, 1), carol, Tokens { 10 } });
@@ -227,9 +222,8 @@
     EXPECT_EQ(last<Refused>().reason, "the grant is sealed");
 }
 
-// Symptom: tokens stay held by a holder that is gone, until the budget has nothing left.
-// Sequence: a holder dies with a draw in flight; its grant is sealed; then the draw lands.
-// Cause: the draw of a dead holder was admitted (S9).
+// A holder fails with a draw in flight, its grant is sealed, and then the draw lands. If the draw were admitted, its
+// tokens would stay held by the failed holder, until the budget has none left (rule S9).
 TEST_F(FoldFixture, ASealRetiresTheHolder)
 {
     open(100);
@@ -242,15 +236,14 @@
     EXPECT_EQ(view().held, Tokens { 10 });
     take(carol, Bill { keyOf(1), grantOf(alice, 1), Tokens { 10 } });
     take(carol, Bill { keyOf(2), grantOf(alice, 1), Tokens { 1 } });
-    EXPECT_EQ(last<Refused>().reason, "the bill passes what the grant holds");
+    EXPECT_EQ(last<Refused>().reason, "the bill exceeds the tokens that are left in the grant");
     take(alice, CloseGrant { grantOf(alice, 1) });
     EXPECT_EQ(view().held, Tokens { 10 });
     EXPECT_EQ(fold.openGrants().size(), 0U);
 }
 
-// Symptom: a request that ran on two backend servers is billed twice.
-// Sequence: a router loses its backend server's answer; the request runs again elsewhere; both routers bill it.
-// Cause: the bills were told apart by grant, not by the request's key (S10).
+// A router loses the response of its backend server, the request runs again on another one, and both routers bill it.
+// If bills were identified by grant and not by the request's key, the request would be billed twice (rule S10).
 TEST_F(FoldFixture, BillsAKeyOnce)
 {
     open(100);
@@ -264,14 +257,13 @@
     take(bob, Bill { keyOf(2), grantOf(bob, 1), {} });
     EXPECT_EQ(fold.billed(keyOf(2)), Tokens {});
     take(bob, Bill { keyOf(3), grantOf(bob, 1), Tokens { -1 } });
-    EXPECT_EQ(last<Refused>().reason, "a bill charges no negative tokens");
+    EXPECT_EQ(last<Refused>().reason, "a bill must not have negative tokens");
     EXPECT_EQ(view().billed, Tokens { 20 });
 }
 
-// Symptom: a non-idempotent request runs twice.
-// Sequence: two routers claim the same key, each with its own append.
-// Cause: the later claim counted too (S11).
-TEST_F(FoldFixture, TheFirstClaimOrVoidStands)
+// Two routers claim the same key, each with its own append. If the later claim counted too, a non-idempotent request
+// would run twice (rule S11).
+TEST_F(FoldFixture, TheFirstClaimOrVoidOfAKeyIsFinal)
 {
     take(alice, Claim { keyOf(1) });
     take(bob, Claim { keyOf(1) });
@@ -285,7 +277,7 @@
     EXPECT_EQ(fold.claimOwner(keyOf(3)), std::nullopt);
 }
 
-TEST_F(FoldFixture, AnOwnerVoidsItsClaimForGood)
+TEST_F(FoldFixture, AnOwnerMayVoidItsClaimForGood)
 {
     take(alice, Claim { keyOf(1) });
     take(alice, VoidClaim { keyOf(1) });
@@ -294,7 +286,7 @@
     EXPECT_EQ(last<ClaimDecided>().owner, Incarnation {});
 }
 
-TEST_F(FoldFixture, ForgetsTheOldestKeysAndAuthorsByCount)
+TEST_F(FoldFixture, EvictsTheOldestKeysAndAuthorsAboveTheLimits)
 {
     fold = Fold(FoldLimits { 2, 2 });
     open(100);
@@ -308,20 +300,19 @@
     EXPECT_EQ(fold.lastSequence(operators), 0U);
     EXPECT_EQ(fold.lastSequence(bob), 0U);
     EXPECT_EQ(fold.lastSequence(carol), 1U);
-    EXPECT_EQ(fold.lastSequence(alice), 4U) << "it holds a grant";
+    EXPECT_EQ(fold.lastSequence(alice), 4U) << "an author with an open grant must not be evicted";
 }
 
-TEST_F(FoldFixture, AnItemWithoutAnAuthorIsRefused)
+TEST_F(FoldFixture, RefusesAnItemWithoutAnAuthor)
 {
     apply(Batch { rulesVersion, { Item { Incarnation {}, 1, Claim { keyOf(1) } } } });
     EXPECT_EQ(last<Refused>().reason, "the item has no author");
     EXPECT_EQ(fold.claimOwner(keyOf(1)), std::nullopt);
 }
 
-// Symptom: money of a dead holder is out of reach for good, or an operator's word frees it twice.
-// Sequence: the holder dies without a witness; an operator writes its grant off; a late bill and a second word land.
-// Cause: only a holder or a witness could close a grant.
-TEST_F(FoldFixture, AnOperatorWritesOffAGrant)
+// A holder without a witness fails, so that neither a holder nor a witness can close its grant, and its tokens would
+// stay held for good. An operator writes the grant off. A late bill and a second write-off must not free tokens again.
+TEST_F(FoldFixture, AWriteOffFreesTheTokensThatWereNotBilledOnce)
 {
     open(100);
     take(alice, Draw { grantOf(alice, 1), budget, Tokens { 60 }, Tokens { 60 }, {} });
@@ -334,10 +325,9 @@
     EXPECT_TRUE(fold.retired(alice));
 }
 
-// Symptom: a live holder's money is freed under it.
-// Sequence: a router that is not the witness, or a witness that has sealed nothing, closes a grant.
-// Cause: closing was open to anybody.
-TEST_F(FoldFixture, OnlyTheWitnessOfASealedGrantClosesItForItsHolder)
+// A router that is not the witness, or a witness that has not sealed the grant, closes the grant. If that were allowed,
+// the tokens of a holder that still runs would be freed.
+TEST_F(FoldFixture, OnlyTheWitnessOfASealedGrantMayCloseItForTheHolder)
 {
     open(100);
     take(alice, Draw { grantOf(alice, 1), budget, Tokens { 60 }, Tokens { 60 }, bob });
--- a/tests/ledger/OutboxTest.cpp
+++ b/tests/ledger/OutboxTest.cpp
@@ -31,18 +31,18 @@
     Outbox outbox { self };
 };
 
-TEST_F(OutboxTest, NumbersItemsFromOneAndBoundsABatch)
+TEST_F(OutboxTest, NumbersItemsFromOneAndLimitsABatchsBytes)
 {
     EXPECT_EQ(outbox.next(start), std::nullopt);
-    constexpr std::size_t more = Outbox::maxBatchBytes / 64;
-    addBills(more);
+    constexpr std::size_t billCount = Outbox::maxBatchBytes / 64;
+    addBills(billCount);
     const std::optional<Batch> batch = outbox.next(start);
     ASSERT_TRUE(batch);
     EXPECT_EQ(batch->items.front().sequence, 1U);
     EXPECT_EQ(batch->items.front().origin, self);
-    EXPECT_LT(batch->items.size(), more);
+    EXPECT_LT(batch->items.size(), billCount);
     EXPECT_LE(encode(*batch).size(), Outbox::maxBatchBytes);
-    EXPECT_EQ(outbox.pending(), more);
+    EXPECT_EQ(outbox.pending(), billCount);
 }
 
 TEST_F(OutboxTest, NoEncodedItemIsLargerThanItsBound)
@@ -59,14 +59,14 @@
         Checkpoint { Offset { ~0ULL }, std::string(1000, 's') } };
     for (const Entry& entry : entries) {
         const Item item { Incarnation { ~0ULL }, ~0ULL, entry };
-        EXPECT_LE(encode(Batch { rulesVersion, { item } }).size(), Outbox::sizeBound(item)) << kindOf(entry);
+        EXPECT_LE(encode(Batch { rulesVersion, { item } }).size(), Outbox::maxEncodedBytes(item)) << kindOf(entry);
     }
 }
 
-// Symptom: for seconds after an outage callers are refused for money that nobody has drawn.
-// Events: the log is out of reach for 8 s; 190 requests a second end meanwhile; a draw is emitted behind their bills.
-// Cause: a batch took 256 items and had to be read back before the next, so the draw was the seventh append.
-TEST_F(OutboxTest, ADrawGoesOutWithTheBillsOfAnOutage)
+// The log is unreachable for 8 s while 190 requests a second end, and a draw is queued behind their bills. With batches
+// of 256 items, each read back before the next, the draw was part of the seventh append only, and requests were refused
+// for seconds after the outage although the budget had available tokens.
+TEST_F(OutboxTest, ADrawIsInTheSameBatchAsTheBillsOfAnOutage)
 {
     addBills(8 * 180);
     const Entry draw = Draw { GrantId { self, 1 }, {}, Tokens { 10 }, Tokens { 1 }, {} };
@@ -76,10 +76,9 @@
     EXPECT_EQ(batch->items.back().entry, draw);
 }
 
-// Symptom: for up to 2 s after the log is back a router appends nothing, and refuses for what it has not drawn.
-// Events: appends fail for a while, each waits twice as long as the one before; the log answers a read.
-// Cause: nobody told the outbox.
-TEST_F(OutboxTest, AppendsAtOnceWhenTheLogAnswersAgain)
+// Appends fail for a while, with a retry delay that doubles each time, and then the log answers a read. If the outbox
+// were not notified, the router would append nothing for up to 2 s and refuse requests for lack of a draw.
+TEST_F(OutboxTest, RetriesAFailedAppendAtOnceWhenTheLogIsReachableAgain)
 {
     add(1);
     Instant now = start;
@@ -95,69 +94,66 @@
     EXPECT_TRUE(outbox.next(now + Duration { 1 }));
 }
 
-// Symptom: a batch that has landed is appended a second time whenever the log's reader hiccups.
-// Events: an append is answered, a read fails, the log answers again.
-// Cause: an answered append was taken for a failed one.
-TEST_F(OutboxTest, AnAnsweredAppendIsNotHastened)
+// An append is answered, a read fails, and the log answers again. If the answered append were taken for a failed one, a
+// batch that has landed would be appended again after each failed read.
+TEST_F(OutboxTest, DoesNotRetryAnAnsweredAppendAtOnce)
 {
     add(1);
     ASSERT_TRUE(outbox.next(start));
     outbox.onAnswered(start);
     outbox.onReachable(start);
-    EXPECT_FALSE(outbox.next(start + Outbox::firstRetry));
+    EXPECT_FALSE(outbox.next(start + Outbox::initialRetryDelay));
 }
 
-// Symptom: an entry counts under another sequence than its author believes, and a bill is lost.
-// Sequence: an append lands but its answer is lost; the author adds an entry to the batch and appends it again.
-// Cause: the batch in flight was changed, though it may have landed.
-TEST_F(OutboxTest, RepeatsTheVerySameBatchAfterAFailure)
+// An append lands, but its response is lost. If the author changed the batch before the retry, an entry could count
+// under another sequence than the author assumes, and a bill would be lost.
+TEST_F(OutboxTest, RetriesTheIdenticalBatchAfterAFailure)
 {
     add(2);
     const std::optional<Batch> first = outbox.next(start);
     outbox.onFailure(start);
     add(1);
-    EXPECT_EQ(outbox.next(start + Outbox::firstRetry - Duration { 1 }), std::nullopt);
-    EXPECT_EQ(outbox.next(start + Outbox::firstRetry), first);
+    EXPECT_EQ(outbox.next(start + Outbox::initialRetryDelay - Duration { 1 }), std::nullopt);
+    EXPECT_EQ(outbox.next(start + Outbox::initialRetryDelay), first);
 }
 
-TEST_F(OutboxTest, KeepsTheBatchWholeUntilItsLastItemLanded)
+TEST_F(OutboxTest, KeepsAllItemsOfABatchUntilTheLastItemLanded)
 {
     add(2);
     const std::optional<Batch> batch = outbox.next(start);
     outbox.onLanded(Landed { self, 1 }, start);
     EXPECT_EQ(outbox.pending(), 1U);
-    EXPECT_EQ(outbox.next(start + Outbox::longestRetry), batch);
+    EXPECT_EQ(outbox.next(start + Outbox::maxRetryDelay), batch);
     outbox.onLanded(Landed { self, 2 }, start);
     EXPECT_TRUE(outbox.empty());
-    EXPECT_EQ(outbox.next(start + Outbox::longestRetry * 2), std::nullopt);
+    EXPECT_EQ(outbox.next(start + Outbox::maxRetryDelay * 2), std::nullopt);
     EXPECT_EQ(outbox.wakeAt(), std::nullopt);
 }
 
-TEST_F(OutboxTest, WaitsTwiceAsLongEachTimeUpToALimit)
+TEST_F(OutboxTest, DoublesTheRetryDelayUpToTheMaximum)
 {
     add(1);
     Instant now = start;
-    for (Duration wait = Outbox::firstRetry; now < start + std::chrono::seconds { 20 };
-         wait = std::min(wait * 2, Outbox::longestRetry)) {
+    for (Duration wait = Outbox::initialRetryDelay; now < start + std::chrono::seconds { 20 };
+         wait = std::min(wait * 2, Outbox::maxRetryDelay)) {
         EXPECT_TRUE(outbox.next(now));
         EXPECT_EQ(outbox.wakeAt(), now + wait);
         now = *outbox.wakeAt();
     }
-    EXPECT_LE(*outbox.wakeAt() - now, Outbox::longestRetry);
+    EXPECT_LE(*outbox.wakeAt() - now, Outbox::maxRetryDelay);
 }
 
-TEST_F(OutboxTest, AnAnsweredAppendIsGivenTimeToBeReadBack)
+TEST_F(OutboxTest, WaitsTheMaximumDelayForAnAnsweredAppendToBeReadBack)
 {
     add(1);
     ASSERT_TRUE(outbox.next(start));
     outbox.onAnswered(start);
-    EXPECT_EQ(outbox.wakeAt(), start + Outbox::longestRetry);
+    EXPECT_EQ(outbox.wakeAt(), start + Outbox::maxRetryDelay);
 }
 
-// Symptom: an entry vanishes without ever being appended.
-// Sequence: a record carries another author's name, or a sequence that this author has not given out.
-// Cause: any landed sequence was taken as the author's own.
-TEST_F(OutboxTest, IgnoresWhatItNeverGaveOut)
+// A record contains an item of another author, or a sequence that this outbox has not assigned. If such an item counted
+// as landed, a queued entry would be dropped without being appended.
+TEST_F(OutboxTest, IgnoresLandedItemsThatItHasNotAdded)
 {
     add(2);
     ASSERT_TRUE(outbox.next(start));
@@ -169,11 +165,10 @@
     EXPECT_EQ(outbox.pending(), 1U);
 }
 
-// Symptom: an author repeats a batch for ever and never sends what comes behind it.
-// Sequence: the author is paused; its witness takes it for dead and appends the copies it keeps, among them items that
-// still waited here; the author wakes up.
-// Cause: only items of the batch in flight were taken as landed, and the fold says nothing of a repeat.
-TEST_F(OutboxTest, DropsWaitingItemsThatAPeerHasAppended)
+// The author is paused. Its witness assumes that the author has failed and appends its copies, which include items that
+// are still queued here. The author resumes. If only items of the batch in flight counted as landed, the author would
+// repeat the next batch for ever, because the fold yields no effect for a repeated item.
+TEST_F(OutboxTest, DropsQueuedItemsThatAPeerHasAppended)
 {
     add(1);
     ASSERT_TRUE(outbox.next(start));
@@ -185,7 +180,7 @@
     EXPECT_EQ(batch->items.front().sequence, 3U);
 }
 
-TEST_F(OutboxTest, CopiesWhatHasNotLanded)
+TEST_F(OutboxTest, CopiesOnlyItemsThatHaveNotLanded)
 {
     add(2);
     ASSERT_TRUE(outbox.next(start));
--- a/tests/ledger/ShardTest.cpp
+++ b/tests/ledger/ShardTest.cpp
@@ -4,9 +4,9 @@
 
 namespace swiftlift::ledger {
 
-// Symptom: after an upgrade, accounts with money are refused. Sequence: a release computes shards by another hash.
-// Cause: the shard of an account is part of what the log keeps. The values here may never change.
-TEST(Shard, NeverChanges)
+// The account's shard determines the stream that stores its records, so the values here must never change. A release
+// that computes shards with another hash would refuse requests of accounts that have tokens.
+TEST(Shard, OfAnAccountNeverChanges)
 {
     EXPECT_EQ(shardOf(AccountId(""), 1024), 0xEF46DB3751D8E999U % 1024);
     EXPECT_EQ(shardOf(AccountId("a"), 1024), 0xD24EC4F1A98C6E5BU % 1024);
