--- a/include/swiftlift/ledger/Fold.h
+++ b/include/swiftlift/ledger/Fold.h
@@ -148,6 +148,7 @@
      */
     static constexpr std::size_t keyWindow = FoldLimits::defaultKeys;
 
+    /** @param limits Limits of the remembered keys and authors; the same for all readers of the stream. */
     explicit Fold(const FoldLimits& limits = {});
     ~Fold();
     Fold(Fold&& other) noexcept;
@@ -179,7 +180,9 @@
     /** @return Why the last failed call of `apply()` or `restore()` failed. */
     [[nodiscard]] const std::string& lastReason() const noexcept;
 
+    /** @return The budget, or `std::nullopt` when it does not exist. */
     [[nodiscard]] std::optional<BudgetView> budget(const BudgetRef& ref) const;
+    /** @return The account, open or closed, or `std::nullopt` when it does not exist. */
     [[nodiscard]] std::optional<AccountView> account(const AccountId& id) const;
     /** @return The grant when it is open or sealed; `std::nullopt` when it is closed or unknown. */
     [[nodiscard]] std::optional<GrantView> grant(const GrantId& id) const;
--- a/src/ledger/Fold.cpp
+++ b/src/ledger/Fold.cpp
@@ -41,7 +41,7 @@
         // Rule S14: two releases with different rules could admit the same tokens to two holders, so the older one
         // stops.
         return fail("record " + std::to_string(offset.value()) + " has rules version " + std::to_string(batch.version)
-            + ", but the highest known version is " + std::to_string(rulesVersion));
+            + ", known versions are 1 to " + std::to_string(rulesVersion));
     }
     internal::FoldRules rules(*state_, offset, effects);
     for (const Item& item : batch.items)
--- a/src/ledger/FoldOrigins.h
+++ b/src/ledger/FoldOrigins.h
@@ -56,6 +56,7 @@
 
 private:
     void markMostRecent(Incarnation id, Origin& origin);
+    /** Evicts the least recently active authors without grants until the set has no more than `limit()` authors. */
     void evictLeastRecent();
 
     std::size_t limit_;
--- a/src/ledger/FoldRules.h
+++ b/src/ledger/FoldRules.h
@@ -30,6 +30,7 @@
     void applyItem(const Item& item);
 
 private:
+    // Each overload applies an entry of one kind, appended by `origin`, or returns why the entry is refused.
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const OpenAccount& entry);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const CloseAccount& entry);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const TopUp& entry);
@@ -38,6 +39,7 @@
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const Return& entry);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const CloseGrant& entry);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const WriteOff& entry);
+    /** Closes a grant that is open or sealed and emits the effects. */
     void closeGrant(GrantView& grant);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const ChangeWitness& entry);
     [[nodiscard]] Refusal applyEntry(Incarnation origin, const Seal& entry);
@@ -48,9 +50,11 @@
 
     /** @return Why the draw breaks a rule; `std::nullopt` when it breaks none. */
     [[nodiscard]] Refusal refusalOfDraw(Incarnation origin, const Draw& entry);
+    /** Adds the grant of a draw with the admitted tokens to the state. */
     void addAdmittedGrant(const Draw& entry, Tokens admitted);
     /** @return Reason to refuse an entry on a grant that is neither open nor sealed. */
     [[nodiscard]] std::string missingGrantReason(const GrantId& id) const;
+    /** Emits `GrantChanged` for the grant and `BudgetChanged` for its budget. */
     void emitGrantChanged(const GrantView& grant);
 
     FoldState& state_;
--- a/tests/ledger/CheckpointScheduleTest.cpp
+++ b/tests/ledger/CheckpointScheduleTest.cpp
@@ -16,15 +16,15 @@
         for (std::uint32_t router = 0; router < routers; ++router) {
             fleet.emplace_back(2s, 1 + router);
         }
-        std::vector<Instant> kept;
+        std::vector<Instant> times;
         for (Instant now { 100s }; now < Instant { 100s } + duration; now += 50ms) {
             for (CheckpointSchedule& schedule : fleet) {
                 if (schedule.due(now, routers)) {
-                    kept.push_back(now);
+                    times.push_back(now);
                 }
             }
         }
-        return kept;
+        return times;
     }
 
     // All VMs lost power 55 s after 81 routers had started together. Each router had written a checkpoint within its
@@ -32,11 +32,11 @@
     // and the first request was served 5 s after the restart.
     TEST(CheckpointScheduleTest, SpreadsCheckpointsOfRoutersThatStartTogether)
     {
-        const std::vector<Instant> kept = checkpointTimes(81, 60s);
-        EXPECT_GT(kept.size(), 15U);
-        EXPECT_LT(kept.size(), 60U);
+        const std::vector<Instant> times = checkpointTimes(81, 60s);
+        EXPECT_GT(times.size(), 15U);
+        EXPECT_LT(times.size(), 60U);
         Instant previous { 100s };
-        for (const Instant time : kept) {
+        for (const Instant time : times) {
             EXPECT_LT(time - previous, 15s);
             previous = time;
         }
@@ -44,9 +44,9 @@
 
     TEST(CheckpointScheduleTest, CheckpointsOfASingleRouterAreOneIntervalApartOnAverage)
     {
-        const std::size_t kept = checkpointTimes(1, 200s).size();
-        EXPECT_GT(kept, 70U);
-        EXPECT_LT(kept, 140U);
+        const std::size_t count = checkpointTimes(1, 200s).size();
+        EXPECT_GT(count, 70U);
+        EXPECT_LT(count, 140U);
     }
 
 } // namespace
--- a/tests/ledger/FoldFixture.h
+++ b/tests/ledger/FoldFixture.h
@@ -16,6 +16,7 @@
 /** Fold with one budget, and authors whose items are numbered by the fixture. */
 class FoldFixture : public testing::Test {
 protected:
+    /** Author of the entries that operators append. */
     static constexpr Incarnation operators { 1 };
     static constexpr Incarnation alice { 10 };
     static constexpr Incarnation bob { 11 };
--- a/tests/ledger/FoldPropertyTest.cpp
+++ b/tests/ledger/FoldPropertyTest.cpp
@@ -29,7 +29,7 @@
 
     Tokens anyTokens() { return Tokens { anyInRange<std::int64_t>(-1, 60) }; }
 
-    Tokens fewTokens() { return Tokens { anyInRange<std::int64_t>(-1, 12) }; }
+    Tokens anyFewTokens() { return Tokens { anyInRange<std::int64_t>(-1, 12) }; }
 
     Incarnation anyAuthor() { return Incarnation { anyInRange<std::uint64_t>(1, authors + 1) }; }
 
@@ -89,7 +89,7 @@
             case 0:
                 return TopUp { anyBudget(), anyTokens() };
             case 1:
-                return Draw { { origin, ++numbers_[origin] }, anyBudget(), anyTokens(), fewTokens(), other };
+                return Draw { { origin, ++numbers_[origin] }, anyBudget(), anyTokens(), anyFewTokens(), other };
             case 2:
                 return Return { ownGrant(origin), anyTokens() };
             case 3:
@@ -99,7 +99,7 @@
             case 5:
                 return Seal { ownGrant(other), origin, anyTokens() };
             case 6:
-                return Bill { anyKey(), ownGrant(other), fewTokens() };
+                return Bill { anyKey(), ownGrant(other), anyFewTokens() };
             case 7:
                 return Claim { anyKey() };
             case 8:
