--- a/include/swiftlift/node/KeyedRecords.h
+++ b/include/swiftlift/node/KeyedRecords.h
@@ -8,31 +8,31 @@
 
 namespace swiftlift::node {
 
-/** A record of a stream of which the log keeps the newest record of each key for good. */
+/** A record of a keyed stream: the log retains the newest record of each key without expiry. */
 struct KeyedRecord {
     Offset offset;
     std::string key;
-    /** Nothing: the key was dropped. */
+    /** std::nullopt: the key was removed. */
     std::optional<std::string> value;
 
     [[nodiscard]] bool operator==(const KeyedRecord&) const = default;
 };
 
-/** A record of such a stream that another writer has left there: it says nothing, and takes nothing back. */
+/** A record of a keyed stream that can't be decoded. It neither changes nor removes what its key held before. */
 struct UnreadableRecord {
-    /** Empty: not known either. */
+    /** Empty when the key can't be decoded either. */
     std::string key;
-    /** What can't be read of it. */
+    /** Why the record can't be decoded. */
     std::string reason;
 
     [[nodiscard]] bool operator==(const UnreadableRecord&) const = default;
 };
 
-/** Records of such a stream, in order of their offsets. */
+/** Records of a keyed stream, in order of their offsets. */
 struct KeyedRecords {
     StreamName stream;
     std::vector<KeyedRecord> records;
-    /** All keys that there are, and not only what changed. */
+    /** True when `records` has every key of the stream; false when it has only changes. */
     bool whole = false;
     std::vector<UnreadableRecord> unreadable = {};
 };
--- a/include/swiftlift/node/PeerMessage.h
+++ b/include/swiftlift/node/PeerMessage.h
@@ -11,84 +11,114 @@
 
 namespace swiftlift::node {
 
-// Messages between routers. Each may be lost, repeated or late. See proto/peer.proto.
+// Messages between routers, as in proto/peer.proto. Each message may be lost, duplicated or delayed.
 
+/** How far the sender has read a stream. */
 struct StreamPosition {
     StreamName stream;
+    /** Offset of the first record that has not been read. */
     Offset next;
 };
+/** Sent to peers at regular intervals: the sender's location and state. */
 struct Heartbeat {
     FailureDomain domain;
     Region region;
+    /** The sender takes no new requests: it stops or is retired. */
     bool stopping = false;
+    /** The sender itself reaches the platform's log. */
     bool logReachable = false;
     std::vector<StreamPosition> positions;
 };
+/** Holder to witness: requests permission to spend these grants up to these ceilings. */
 struct RaiseCeilings {
     std::vector<ledger::Ceiling> ceilings;
 };
+/** Witness to holder: these ceilings are in force. */
 struct CeilingsAcked {
     std::vector<ledger::Ceiling> ceilings;
 };
+/**
+ * @brief Witness to holder: the ceilings of these grants will not be raised.
+ *
+ * The receiver of the request suspects the holder, or is not the grant's witness, or the grant is not open.
+ */
 struct CeilingsRefused {
     std::vector<GrantId> grants;
 };
+/** Borrower to lender: requests a loan of `amount` tokens of the budget. */
 struct LoanAsk {
     std::uint64_t loan = 0;
     BudgetRef budget;
     Tokens amount;
 };
+/** Lender to borrower: the loan is granted. */
 struct LoanGiven {
     std::uint64_t loan = 0;
     BudgetRef budget;
+    /** The lender's grant, which the borrower's bills name. */
     GrantId grant;
     Tokens amount;
-    /** As ledger::Ceiling::alone, of the lender's grant. */
+    /** The lender's grant is holder-only, see ledger::Ceiling::holderOnly. */
     bool holderOnly = false;
 };
+/** Lender to borrower: the loan is refused. */
 struct LoanDenied {
     std::uint64_t loan = 0;
     BudgetRef budget;
+    /** Tokens of the budget that the lender has free. */
     Tokens free;
 };
+/** Borrower to lender: the loan is over, and `billed` tokens of it were billed. */
 struct LoanDone {
     std::uint64_t loan = 0;
     Tokens billed;
 };
+/** Lender to borrower: LoanDone was processed. */
 struct LoanDoneAcked {
     std::uint64_t loan = 0;
 };
-/** Please send what you have of this stream from here on; I can't reach the log. */
+/** Requests the receiver's records of the stream from `from` on, because the sender can't reach the log. */
 struct ReadAsk {
     StreamName stream;
     Offset from;
 };
+/** Consecutive records of a stream; empty when the sender has none from `first` on. */
 struct Records {
     StreamName stream;
+    /** Offset of the first record; 0 in crash reports, which are sent unrequested and without offsets. */
     Offset first;
     std::vector<std::string> records;
 };
-/** A reader's state after every record below `asOf`: the answer to a ReadAsk for records that are no longer held. */
+/**
+ * @brief The sender's fold of a stream after every record below `asOf`.
+ *
+ * Answers a ReadAsk for records that the sender no longer caches.
+ */
 struct StreamState {
     StreamName stream;
     Offset asOf;
+    /** Encoded as in ledger::Checkpoint. */
     std::string state;
 };
-/** Please append this for me; I can't reach the log. */
+/** Requests that the receiver append the record, because the sender can't reach the log. */
 struct RelayAppend {
     StreamName stream;
     std::string record;
 };
 
-/** Author to a keeper: items that have not been read back yet, to be appended in its name should it die. */
+/**
+ * @brief Author to replica: ledger items that the author has not read back from the log yet.
+ *
+ * If the author dies, the replica appends them in the author's name.
+ */
 struct CopyItems {
     StreamName stream;
     /** An encoded ledger::Batch. */
     std::string batch;
-    /** The keeper is beyond the author's failure domain and witnesses none of its grants. */
+    /** The receiver is a remote replica: outside the author's failure domain, and witness of none of its grants. */
     bool distant = false;
 };
-/** Keeper to author: all items up to this sequence are kept here. */
+/** Replica to author: the replica has all items up to and including `sequence`. */
 struct ItemsCopied {
     StreamName stream;
     std::uint64_t sequence = 0;
--- a/src/node/Context.h
+++ b/src/node/Context.h
@@ -49,7 +49,7 @@
     LogLine line_;
 };
 
-/** What every part of the core shares: settings, the present moment and where actions go. */
+/** Shared by all components of the core: the settings, the time of the current event and the list of actions. */
 class Context {
 public:
     explicit Context(CoreSettings settings)
@@ -57,7 +57,11 @@
     {
     }
 
-    /** Every event starts here. */
+    /**
+     * @brief Starts the handling of an event.
+     * @param now Time of the event.
+     * @param actions Receives the actions until the next event.
+     */
     void begin(Instant now, Actions& actions)
     {
         now_ = now;
@@ -71,6 +75,7 @@
 
     void emit(Action action) { actions_->push_back(std::move(action)); }
 
+    /** Emits the log line and remembers it as an explanation of its request. */
     void log(const LogLineBuilder& line)
     {
         LogLine taken = line.get();
@@ -78,11 +83,13 @@
         emit(std::move(taken));
     }
 
+    /** Adds `add` to a counter metric. */
     void count(std::string name, std::vector<std::pair<std::string, std::string>> labels = {}, double add = 1)
     {
         emit(CountMetric { std::move(name), std::move(labels), add });
     }
 
+    /** Sets a gauge metric. */
     void gauge(std::string name, double value, std::vector<std::pair<std::string, std::string>> labels = {})
     {
         emit(GaugeMetric { std::move(name), std::move(labels), value });
@@ -97,9 +104,9 @@
 
 using swiftlift::toHex;
 
-/** @return The incarnations, a space between two. */
+/** @return The incarnations as hex numbers, separated by spaces. */
 [[nodiscard]] std::string toHex(const std::vector<Incarnation>& incarnations);
-/** @return 32 hex digits; empty when there is none. */
+/** @return 32 hex digits; empty when `content` is std::nullopt. */
 [[nodiscard]] std::string toHex(const std::optional<ContentDigest>& content);
 /** @return `HOLDER/NUMBER`. */
 [[nodiscard]] std::string toText(const GrantId& grant);
@@ -107,7 +114,7 @@
 [[nodiscard]] std::string toText(const BudgetRef& budget);
 /** @return `answered`, `not_run` or `unknown`. */
 [[nodiscard]] const char* toText(Outcome outcome);
-/** @return Whole milliseconds. */
+/** @return The duration in whole milliseconds, rounded toward zero. */
 [[nodiscard]] std::int64_t toMilliseconds(Duration duration);
 
 } // namespace swiftlift::node
--- a/src/node/CoreState.cpp
+++ b/src/node/CoreState.cpp
@@ -9,7 +9,7 @@
 
 namespace internal {
 
-    constexpr Duration notReadyRetry = std::chrono::seconds(1);
+    constexpr Duration notReadyRetryAfter = std::chrono::seconds(1);
 
 } // namespace internal
 
@@ -49,13 +49,14 @@
 void CoreState::on(const RequestArrived& event)
 {
     if (stopping_) {
-        requests_.refuseImmediately(
-            event.call, event.request, { 503, "stopping", "this VM is leaving: ask another", Duration {} });
+        requests_.refuseImmediately(event.call, event.request,
+            { 503, "stopping", "this VM is stopping: send the request to another VM", Duration {} });
         return;
     }
     if (!ready()) {
         requests_.refuseImmediately(event.call, event.request,
-            { 503, "not_ready", retired() ? retiredReason_ : "still reading the log", internal::notReadyRetry });
+            { 503, "not_ready", retired() ? retiredReason_ : "this router is still reading the log",
+                internal::notReadyRetryAfter });
         return;
     }
     requests_.arrive(event.call, event.request);
@@ -115,8 +116,8 @@
     if (event.sender == context_.self()) {
         return;
     }
-    if (const auto* heartbeatHeard = std::get_if<Heartbeat>(&event.message)) {
-        peers_.onHeartbeat(event.sender, event.address, *heartbeatHeard);
+    if (const auto* receivedHeartbeat = std::get_if<Heartbeat>(&event.message)) {
+        peers_.onHeartbeat(event.sender, event.address, *receivedHeartbeat);
         return;
     }
     routePeerMessage(event);
--- a/src/node/CoreState.h
+++ b/src/node/CoreState.h
@@ -18,15 +18,15 @@
 
 namespace swiftlift::node {
 
-/** The parts of a router's core, and how events reach them. */
+/** The components of a router's core. Passes each event to the components that it concerns. */
 class CoreState final : public LedgerListener {
 public:
     explicit CoreState(CoreSettings settings);
 
     void start();
-    /** To be called before each event: notices that this process has not run for a while. */
+    /** To be called before each event: detects that this process was paused. */
     void beginEvent();
-    /** Whatever came, these follow: time-driven work and what waited for the event. */
+    /** To be called after each event: does time-driven work and continues requests that waited for the event. */
     void finishEvent();
 
     void on(const RequestArrived& event);
@@ -45,14 +45,14 @@
     void on(const Tick& event);
     void on(const StopRequested& event);
     void on(const OperatorAsked& event);
-    /** What concerns requests that are passed on as they came is not this composition's. */
+    /** Ignores all other events: they concern proxied requests, which this composition does not handle. */
     template <typename Other> void on(const Other&) { }
 
     void onClaimDecided(const RequestKey& key, Incarnation owner) override;
     void onTokensAvailable(const BudgetRef& budget) override;
     void onRetired(const std::string& reason) override;
 
-    /** @return True when the router takes new requests. */
+    /** @return True when the router has caught up with the log and its peers and is not retired. */
     [[nodiscard]] bool ready() const;
     [[nodiscard]] bool stopping() const noexcept { return stopping_; }
     [[nodiscard]] bool retired() const noexcept { return !retiredReason_.empty(); }
@@ -67,11 +67,13 @@
     [[nodiscard]] const Ledgers& ledgers() const noexcept { return ledgers_; }
 
 private:
-    /** Ticks come every 20 ms; no event for this long means that the process was paused. */
+    /** Ticks arrive every 20 ms; this long without any event means that the process was paused. */
     static constexpr Duration pauseThreshold = std::chrono::milliseconds(700);
+    /** Time between two updates of the incarnations that membership watches for this router's ledgers. */
     static constexpr Duration watchedPeriod = std::chrono::seconds(1);
 
     [[nodiscard]] Heartbeat heartbeat() const;
+    /** Applies the service's weighting to the budgets of its accounts. */
     void onServiceInForce(const settings::ServiceDocument& document);
     void routePeerMessage(const PeerReceived& event);
     void refreshWatched();
@@ -85,6 +87,7 @@
     Placement placement_;
     Ledgers ledgers_;
     Requests requests_;
+    /** Empty while this incarnation is not retired. */
     std::string retiredReason_;
     std::optional<Instant> lastEvent_;
     Instant nextWatched_ {};
--- a/src/node/FleetDirectory.cpp
+++ b/src/node/FleetDirectory.cpp
@@ -10,12 +10,12 @@
 
     const std::string configKey = "config";
 
-    [[nodiscard]] std::string vmText(const CoreSettings& settings)
+    [[nodiscard]] std::string encodeVm(const CoreSettings& settings)
     {
         return nlohmann::json { { "domain", settings.domain.value() }, { "region", settings.region.value() } }.dump();
     }
 
-    [[nodiscard]] std::optional<ListedVm> readVm(const std::string& address, const std::string& text)
+    [[nodiscard]] std::optional<ListedVm> decodeVm(const std::string& address, const std::string& text)
     {
         const auto json = nlohmann::json::parse(text, nullptr, false);
         if (!json.is_object() || !json.contains("domain") || !json["domain"].is_string()) {
@@ -25,12 +25,12 @@
             Region { json.value("region", "") }, false };
     }
 
-    [[nodiscard]] const char* changeOf(const fleet::BackendServer& server, bool newLife)
+    [[nodiscard]] const char* changeOf(const fleet::BackendServer& server, bool newInstance)
     {
         if (server.state != fleet::ServerState::Ready) {
             return "leaving";
         }
-        return newLife ? "started_again" : "registered";
+        return newInstance ? "started_again" : "registered";
     }
 
 } // namespace internal
@@ -76,27 +76,26 @@
         logUnreadable(records.stream.value().c_str(), record.key, record.reason);
     }
     if (records.stream == serverStream()) {
-        takeServers(records);
+        applyServers(records);
         return;
     }
     if (records.stream == vmStream()) {
-        takeVms(records);
+        applyVms(records);
         return;
     }
     confirmedAt_ = context_.now();
     for (const KeyedRecord& record : records.records) {
         if (record.key == internal::configKey && record.value) {
-            takeConfig(record.offset, *record.value, "log");
+            applyConfig(record.offset, *record.value, "log");
         }
     }
 }
 
-// What goes wrong otherwise: a VM whose processor or link is full reads no configuration for half a minute, and goes on
-// telling callers that their routes and keys don't exist. One notices by 404 and 401 with an old version in their
-// lines.
+// A VM whose processor or network link is saturated may read no configuration for half a minute. Without this check it
+// would answer requests for new routes and keys with 404 and 401, logged with an old configuration version.
 bool FleetDirectory::confirmed() const { return confirmedAt_ && context_.now() - *confirmedAt_ < confirmationLifetime; }
 
-void FleetDirectory::takeConfig(Offset offset, const std::string& text, const char* source)
+void FleetDirectory::applyConfig(Offset offset, const std::string& text, const char* source)
 {
     Findings findings;
     auto config = context_.settings().fleetCodec->config(text, findings);
@@ -104,8 +103,8 @@
         logFindings("config", internal::configKey, findings);
         return;
     }
-    // Records of an older configuration come again when a reader starts anew, or from a peer that is behind. Taken, the
-    // fleet would go back to routes and keys that have been withdrawn.
+    // Records of an older configuration arrive when a reader restarts, or from a peer that has read less. Applying one
+    // would restore routes and keys that have been withdrawn.
     if (routes_ && config->version <= routes_->config().version) {
         return;
     }
@@ -121,7 +120,7 @@
     listener_.onConfig(routes_->config());
 }
 
-void FleetDirectory::takeServers(const KeyedRecords& records)
+void FleetDirectory::applyServers(const KeyedRecords& records)
 {
     if (records.whole) {
         std::set<BackendId> present;
@@ -133,22 +132,22 @@
         }
         for (const auto& [id, server] : servers_) {
             if (!present.contains(id)) {
-                lapsed_.try_emplace(id, context_.now());
+                missing_.try_emplace(id, context_.now());
             }
         }
         serversKnown_ = true;
     }
     const Instant readBefore = std::exchange(serversReadAt_, context_.now());
     for (const KeyedRecord& record : records.records) {
-        takeServer(record, readBefore);
+        applyServer(record, readBefore);
     }
-    noteSeen(records, readBefore);
-    static_cast<void>(dropLapsed());
+    notifyServersSeen(records, readBefore);
+    static_cast<void>(removeMissing());
     publishBackends();
 }
 
-// A list of all servers has entries that are as old as may be, and shows nobody alive.
-void FleetDirectory::noteSeen(const KeyedRecords& records, Instant readBefore)
+// The entries of a complete list may be arbitrarily old, so they do not show that a server runs.
+void FleetDirectory::notifyServersSeen(const KeyedRecords& records, Instant readBefore)
 {
     if (records.whole) {
         return;
@@ -161,11 +160,11 @@
     }
 }
 
-void FleetDirectory::takeServer(const KeyedRecord& record, Instant readBefore)
+void FleetDirectory::applyServer(const KeyedRecord& record, Instant readBefore)
 {
     const BackendId id { record.key };
     if (!record.value) {
-        lapsed_.try_emplace(id, context_.now());
+        missing_.try_emplace(id, context_.now());
         return;
     }
     Findings findings;
@@ -175,51 +174,52 @@
         return;
     }
     const auto known = servers_.find(id);
-    // A record of a former life may come late; taken, it would bring an address or a state back that is over.
+    // A record of a previous instance may arrive late. Applying it would restore an outdated address or state.
     if (known != servers_.end() && server->startedAt < known->second.startedAt) {
         return;
     }
-    lapsed_.erase(id);
+    missing_.erase(id);
     const Instant aliveAt = std::exchange(aliveAt_[id], readBefore);
     if (known != servers_.end() && known->second == *server) {
         return;
     }
-    const bool newLife
+    const bool newInstance
         = known != servers_.end() && known->second.startedAt != 0 && server->startedAt > known->second.startedAt;
     context_.log(LogLineBuilder("backend")
                      .with("backend", id.value())
-                     .with("change", internal::changeOf(*server, newLife))
+                     .with("change", internal::changeOf(*server, newInstance))
                      .with("started_at", static_cast<std::int64_t>(server->startedAt))
                      .with("address", server->address.value())
                      .with("service", server->service.value())
                      .with("domain", server->domain.value())
                      .with("offset", static_cast<std::int64_t>(record.offset.value())));
     servers_[id] = std::move(*server);
-    if (newLife) {
+    if (newInstance) {
         listener_.onServerRestarted(id, aliveAt);
     }
 }
 
-bool FleetDirectory::mostLapsed(const ServiceName& service) const
+bool FleetDirectory::isMajorityMissing(const ServiceName& service) const
 {
     std::size_t registered = 0;
-    std::size_t lapsed = 0;
+    std::size_t missing = 0;
     for (const auto& [id, server] : servers_) {
         if (server.service == service && server.state == fleet::ServerState::Ready) {
-            ++(lapsed_.contains(id) ? lapsed : registered);
+            ++(missing_.contains(id) ? missing : registered);
         }
     }
-    return lapsed > registered;
+    return missing > registered;
 }
 
-bool FleetDirectory::dropLapsed()
+bool FleetDirectory::removeMissing()
 {
-    bool dropped = false;
-    for (auto entry = lapsed_.begin(); entry != lapsed_.end();) {
+    bool removed = false;
+    for (auto entry = missing_.begin(); entry != missing_.end();) {
         const auto server = servers_.find(entry->first);
         const bool known = server != servers_.end();
-        const bool wait = known && mostLapsed(server->second.service) && context_.now() - entry->second < lapseGrace;
-        if (wait) {
+        const bool keep
+            = known && isMajorityMissing(server->second.service) && context_.now() - entry->second < missingGracePeriod;
+        if (keep) {
             ++entry;
             continue;
         }
@@ -230,11 +230,11 @@
                              .with("missing_ms", toMilliseconds(context_.now() - entry->second)));
             servers_.erase(server);
             aliveAt_.erase(entry->first);
-            dropped = true;
+            removed = true;
         }
-        entry = lapsed_.erase(entry);
+        entry = missing_.erase(entry);
     }
-    return dropped;
+    return removed;
 }
 
 void FleetDirectory::publishBackends()
@@ -257,13 +257,13 @@
     }
 }
 
-void FleetDirectory::takeVms(const KeyedRecords& records)
+void FleetDirectory::applyVms(const KeyedRecords& records)
 {
     if (records.whole) {
         vms_.clear();
     }
     for (const KeyedRecord& record : records.records) {
-        const auto vm = record.value ? internal::readVm(record.key, *record.value) : std::nullopt;
+        const auto vm = record.value ? internal::decodeVm(record.key, *record.value) : std::nullopt;
         if (vm) {
             vms_[record.key] = *vm;
         } else {
@@ -287,8 +287,8 @@
 {
     const Instant now = context_.now();
     if (!health_.reachable(now)) {
-        askPeer();
-    } else if (dropLapsed()) {
+        requestConfigFromPeer();
+    } else if (removeMissing()) {
         publishBackends();
     }
     registerSelf(stopping);
@@ -309,10 +309,10 @@
         return;
     }
     nextRegister_ = now + registerPeriod;
-    context_.emit(Append { vmStream(), internal::vmText(context_.settings()), address });
+    context_.emit(Append { vmStream(), internal::encodeVm(context_.settings()), address });
 }
 
-void FleetDirectory::askPeer()
+void FleetDirectory::requestConfigFromPeer()
 {
     const Instant now = context_.now();
     if (now < nextReadAsk_) {
@@ -335,7 +335,7 @@
 void FleetDirectory::onPeerRecords(const Records& records)
 {
     if (!records.records.empty()) {
-        takeConfig(records.first, records.records.front(), "peer");
+        applyConfig(records.first, records.records.front(), "peer");
     }
 }
 
@@ -347,9 +347,9 @@
 void FleetDirectory::logUnreadable(const char* what, const std::string& key, const std::string& reason)
 {
     context_.count("swiftlift_unreadable_records_total", { { "what", what } });
-    // Another writer may repeat its record every second, or write ever new ones.
+    // A faulty writer may repeat its record every second, or keep writing new ones.
     const bool known = unreadable_.contains({ key, reason });
-    if (known || unreadable_.size() >= unreadableLines) {
+    if (known || unreadable_.size() >= maxUnreadableLines) {
         return;
     }
     unreadable_.insert({ key, reason });
--- a/src/node/FleetDirectory.h
+++ b/src/node/FleetDirectory.h
@@ -21,7 +21,7 @@
 
 using RouteTablePtr = std::shared_ptr<const fleet::RouteTable>;
 
-/** Told of what changes outside the fleet. */
+/** Receives changes of the configuration and of backend servers. */
 class FleetListener {
 public:
     FleetListener() = default;
@@ -29,22 +29,27 @@
     FleetListener(const FleetListener&) = delete;
     FleetListener& operator=(const FleetListener&) = delete;
 
-    /** A configuration has come into force. */
+    /** Handles that a configuration has come into force. */
     virtual void onConfig(const fleet::FleetConfig& config) = 0;
     /**
-     * A backend server has started again under its id.
-     * @param aliveAt Its former life still ran then: what was sent to it before is lost.
+     * @brief Handles that a new instance of a backend server has started under the server's id.
+     * @param server The server's id.
+     * @param aliveAt A moment at which the previous instance still ran. Requests sent to it are lost.
      */
     virtual void onServerRestarted(const BackendId& server, Instant aliveAt) = 0;
-    /** This life of a backend server has said that it runs. @param at When it still ran, or earlier. */
+    /**
+     * @brief Handles that an instance of a backend server has renewed its entry.
+     * @param server The server's entry.
+     * @param at A moment at which the instance ran.
+     */
     virtual void onServerSeen(const fleet::BackendServer& server, Instant at) = 0;
 };
 
 /**
- * @brief What the fleet is told from outside, by keyed streams of the log: its configuration, its backend servers, its
- * own VMs.
+ * @brief The fleet's configuration, backend servers and VMs, as read from keyed streams of the log.
  *
- * A record that can't be read changes nothing: it is logged with its findings, and what was read before stays in force.
+ * A record that can't be decoded changes nothing: it is logged with its findings, and the previous record of its key
+ * stays in force.
  */
 class FleetDirectory {
 public:
@@ -52,21 +57,26 @@
         FleetListener& listener);
 
     void start();
+    /** Applies records of the configuration, backend server or VM stream. */
     void onRecords(const KeyedRecords& records);
-    /** A peer that reaches the log has read this configuration. */
+    /** Applies a configuration that a peer has read. */
     void onPeerRecords(const Records& records);
+    /** Sends the configuration to a peer that can't reach the log, unless the configuration's offset is below `offset`.
+     */
     void onReadAsk(Incarnation from, Offset offset);
     void tick(bool stopping);
 
-    /** @return The configuration in force; null before any has been read. Stays valid for requests that hold it. */
+    /** @return The configuration in force; null before any has been read. Requests that hold the pointer keep their
+     * configuration when a newer one comes into force. */
     [[nodiscard]] const RouteTablePtr& routes() const noexcept { return routes_; }
-    /** @return True when the configuration in force was the newest a moment ago, by the log's own word. */
+    /** @return True when the configuration stream was read to its end within the confirmation lifetime, so that the
+     * configuration in force is the newest. */
     [[nodiscard]] bool confirmed() const;
-    /** @return True when the backend servers have been read once. */
+    /** @return True once the list of all backend servers has been read. */
     [[nodiscard]] bool serversKnown() const noexcept { return serversKnown_; }
-    /** @return The backend server; null when it is not registered any more. */
+    /** @return The backend server; null when it is not registered. */
     [[nodiscard]] const fleet::BackendServer* server(const BackendId& id) const;
-    /** @return VMs of the fleet that are registered, this one included. */
+    /** @return Number of registered VMs of the fleet, including this one. */
     [[nodiscard]] std::size_t vms() const noexcept { return vms_.size(); }
 
     [[nodiscard]] static const StreamName& configStream();
@@ -74,42 +84,53 @@
     [[nodiscard]] static const StreamName& vmStream();
 
 private:
-    /** An accepted configuration has to be in force within 2 s; a waiting read comes back within one. */
+    /** An accepted configuration has to be in force within 2 s, and a long-poll read returns within 1 s. */
     static constexpr Duration confirmationLifetime = std::chrono::milliseconds(1500);
-    /** Backend servers tell the log that they live every second or so, and each record answers a waiting read. A third
-     * of the 2 s in which a leaving one may still get new work. */
+    /** Pause between two reads of the backend servers. Each server renews its entry about every second, and each record
+     * completes a long-poll read. The pause is a third of the 2 s in which a leaving server may still get new work. */
     static constexpr Duration serverReadPause = std::chrono::milliseconds(600);
-    /** VMs register once, and who lives is known from heartbeats: the list only says where to look for new ones. */
+    /** Pause between two reads of the VM list. VMs register once, and heartbeats show which are alive: the list is
+     * needed only to find new VMs. */
     static constexpr Duration vmReadPause = std::chrono::seconds(3);
+    /** Time between two attempts to register this VM while it is not listed. */
     static constexpr Duration registerPeriod = std::chrono::seconds(10);
+    /** Time between two requests for the configuration to a peer while the log is unreachable. */
     static constexpr Duration readAskPeriod = std::chrono::milliseconds(300);
     /**
-     * What goes wrong: an outage of the log lets the entries of sound servers lapse, and a service is without any until
-     * they have registered again, about 2 s after its return. One notices by "the service has no backend server". But
-     * some servers announce that they leave by nothing else than the end of their entry, and may get nothing new 2 s
-     * later. So a few missing entries count as gone at once; where most of a service's are missing, the outage is the
-     * likelier cause, and they are kept for this long.
+     * How long missing entries are kept when most of a service's entries are missing.
+     *
+     * During an outage of the log the entries of working servers expire, and the service would have no backend server
+     * until they have registered again, about 2 s after the outage. On the other hand, some servers announce that they
+     * leave only by letting their entry expire, and may get no new work 2 s later. So a few missing entries are removed
+     * at once; where most entries of a service are missing, an outage is the more likely cause.
      */
-    static constexpr Duration lapseGrace = std::chrono::milliseconds(1500);
+    static constexpr Duration missingGracePeriod = std::chrono::milliseconds(1500);
 
-    /** A read's answer may have been made, and its next records written, so long before it came to be handled here. */
+    /** The log may have answered a read, and the next records may have been written, this long before the answer is
+     * handled here. */
     static constexpr Duration readLag = std::chrono::seconds(1);
 
-    /** Lines on unreadable records, in the life of the process: more tell nothing that the counter doesn't. */
-    static constexpr std::size_t unreadableLines = 64;
-
-    void takeConfig(Offset offset, const std::string& text, const char* source);
-    void takeServers(const KeyedRecords& records);
-    /** @param readBefore When the stream was read before: the record was written later. */
-    void takeServer(const KeyedRecord& record, Instant readBefore);
-    void noteSeen(const KeyedRecords& records, Instant readBefore);
-    /** @return Whether any was dropped. */
-    bool dropLapsed();
-    [[nodiscard]] bool mostLapsed(const ServiceName& service) const;
-    void takeVms(const KeyedRecords& records);
+    /** Maximum number of log lines on unreadable records per process; the counter metric covers the rest. */
+    static constexpr std::size_t maxUnreadableLines = 64;
+
+    void applyConfig(Offset offset, const std::string& text, const char* source);
+    void applyServers(const KeyedRecords& records);
+    /** @param readBefore When the stream was read the previous time; the record was written after that. */
+    void applyServer(const KeyedRecord& record, Instant readBefore);
+    /** Notifies the listener of servers that have renewed their entries. */
+    void notifyServersSeen(const KeyedRecords& records, Instant readBefore);
+    /** Removes servers whose entries are missing, unless they are still kept. @return True when any was removed. */
+    bool removeMissing();
+    /** @return True when most of the service's ready servers have missing entries. */
+    [[nodiscard]] bool isMajorityMissing(const ServiceName& service) const;
+    void applyVms(const KeyedRecords& records);
+    /** Sets the ready servers of each service in the backend table. */
     void publishBackends();
+    /** Registers this VM, or removes its entry when it stops. */
     void registerSelf(bool stopping);
-    void askPeer();
+    /** Requests a newer configuration from a peer. */
+    void requestConfigFromPeer();
+    /** @param what Kind of the record: `config`, `server` or a stream's name. */
     void logFindings(const char* what, const std::string& key, const Findings& findings);
     void logUnreadable(const char* what, const std::string& key, const std::string& reason);
 
@@ -120,19 +141,21 @@
     FleetListener& listener_;
     RouteTablePtr routes_;
     Offset configOffset_;
-    /** When the configuration's stream was last read to its end. */
+    /** When the configuration stream was last read to its end. */
     std::optional<Instant> confirmedAt_;
     std::string configText_;
     std::map<BackendId, fleet::BackendServer> servers_;
-    /** When the stream of servers was last read, and a moment at which each server's present life surely ran. */
+    /** When the stream of backend servers was last read. */
     Instant serversReadAt_ {};
+    /** For each server a moment at which its present instance ran. */
     std::map<BackendId, Instant> aliveAt_;
-    /** Entries that are gone, but maybe only lapsed, and since when. */
-    std::map<BackendId, Instant> lapsed_;
+    /** Servers whose entries are missing, and since when. */
+    std::map<BackendId, Instant> missing_;
+    /** Services that have backend servers in the backend table. */
     std::set<ServiceName> published_;
     std::map<std::string, ListedVm> vms_;
     bool serversKnown_ = false;
-    /** Key and reason of what was found unreadable, each logged once. */
+    /** Key and reason of unreadable records that have been logged; each pair is logged once. */
     std::set<std::pair<std::string, std::string>> unreadable_;
     Instant nextRegister_ {};
     Instant nextReadAsk_ {};
--- a/src/node/ItemCopies.cpp
+++ b/src/node/ItemCopies.cpp
@@ -19,10 +19,10 @@
             kept.emplace(item.sequence, item);
         }
     }
-    return contiguous(author, kept);
+    return lastContiguous(author, kept);
 }
 
-std::uint64_t ItemCopies::contiguous(Incarnation author, const Items& items) const
+std::uint64_t ItemCopies::lastContiguous(Incarnation author, const Items& items) const
 {
     std::uint64_t last = fold_->lastSequence(author);
     for (const auto& [sequence, item] : items) {
@@ -41,7 +41,7 @@
     if (found == copies_.end()) {
         return batch;
     }
-    const std::uint64_t last = contiguous(author, found->second.items);
+    const std::uint64_t last = lastContiguous(author, found->second.items);
     for (const auto& [sequence, item] : found->second.items) {
         if (sequence <= last && batch.items.size() < ledger::Outbox::maxCopyItems) {
             batch.items.push_back(item);
--- a/src/node/Ledgers.cpp
+++ b/src/node/Ledgers.cpp
@@ -25,23 +25,23 @@
     for (const auto& shard : shards_) {
         shard->start();
     }
-    askForCheckpoints();
+    requestCheckpoints();
 }
 
-void Ledgers::askForCheckpoints()
+void Ledgers::requestCheckpoints()
 {
-    const bool wanted = std::ranges::any_of(shards_, [](const auto& shard) { return shard->wantsCheckpoint(); });
-    if (!wanted || context_.now() < nextAsk_) {
+    const bool wanted = std::ranges::any_of(shards_, [](const auto& shard) { return shard->needsCheckpoint(); });
+    if (!wanted || context_.now() < nextRequest_) {
         return;
     }
-    nextAsk_ = context_.now() + checkpointPause;
+    nextRequest_ = context_.now() + checkpointReadPause;
     context_.emit(Follow { checkpointStream(), {}, StreamKind::KeyedOnce, {} });
 }
 
 void Ledgers::onCheckpoints(const KeyedRecords& records)
 {
     for (const auto& shard : shards_) {
-        if (!shard->wantsCheckpoint()) {
+        if (!shard->needsCheckpoint()) {
             continue;
         }
         const auto found = std::ranges::find(records.records, shard->stream().value(), &KeyedRecord::key);
@@ -52,28 +52,28 @@
 
 void Ledgers::on(const LogRecords& event)
 {
-    if (ShardLedger* shard = named(event.stream)) {
+    if (ShardLedger* shard = findByStream(event.stream)) {
         shard->onRecords(event);
     }
 }
 
 void Ledgers::on(const LogExpired& event)
 {
-    if (ShardLedger* shard = named(event.stream)) {
+    if (ShardLedger* shard = findByStream(event.stream)) {
         shard->onExpired(event.oldest);
     }
 }
 
 void Ledgers::on(const LogUnreachable& event)
 {
-    if (ShardLedger* shard = named(event.stream)) {
+    if (ShardLedger* shard = findByStream(event.stream)) {
         shard->onAppendFailed();
     }
 }
 
 void Ledgers::on(const AppendAnswered& event)
 {
-    if (ShardLedger* shard = named(event.stream)) {
+    if (ShardLedger* shard = findByStream(event.stream)) {
         shard->onAppendAnswered();
     }
 }
@@ -81,18 +81,18 @@
 void Ledgers::on(const PeerReceived& event)
 {
     if (const auto* ask = std::get_if<ReadAsk>(&event.message)) {
-        if (ShardLedger* shard = named(ask->stream)) {
+        if (ShardLedger* shard = findByStream(ask->stream)) {
             shard->onReadAsk(event.sender, ask->from);
         }
     } else if (const auto* records = std::get_if<Records>(&event.message)) {
         on(LogRecords { records->stream, records->first, records->records, std::nullopt });
     } else if (const auto* state = std::get_if<StreamState>(&event.message)) {
-        if (ShardLedger* shard = named(state->stream)) {
+        if (ShardLedger* shard = findByStream(state->stream)) {
             shard->onPeerState(state->asOf, state->state);
         }
-    } else if (ShardLedger* shard = numbered(event.shard)) {
-        // What goes wrong: two shards number their grants and loans alike, and an acknowledgement meant for one raises
-        // the ceiling of the other's grant. So such messages name their shard.
+    } else if (ShardLedger* shard = findByNumber(event.shard)) {
+        // Grant and loan numbers are unique within a shard only. Without the shard's number in the message, an
+        // acknowledgement for one shard would raise the ceiling of another shard's grant.
         shard->onPeerMessage(event.sender, event.message);
     }
 }
@@ -109,16 +109,16 @@
     for (const auto& shard : shards_) {
         shard->tick(leaving);
     }
-    askForCheckpoints();
+    requestCheckpoints();
 }
 
-ShardLedger* Ledgers::named(const StreamName& stream) const
+ShardLedger* Ledgers::findByStream(const StreamName& stream) const
 {
     const auto found = std::ranges::find_if(shards_, [&](const auto& shard) { return shard->stream() == stream; });
     return found == shards_.end() ? nullptr : found->get();
 }
 
-ShardLedger* Ledgers::numbered(std::uint32_t shard) const
+ShardLedger* Ledgers::findByNumber(std::uint32_t shard) const
 {
     return shard < shards_.size() ? shards_[shard].get() : nullptr;
 }
@@ -151,8 +151,8 @@
 {
     std::set<Incarnation> watched;
     for (const auto& shard : shards_) {
-        const auto of = shard->watched();
-        watched.insert(of.begin(), of.end());
+        const auto ofShard = shard->watched();
+        watched.insert(ofShard.begin(), ofShard.end());
     }
     return { watched.begin(), watched.end() };
 }
--- a/src/node/OperatorView.cpp
+++ b/src/node/OperatorView.cpp
@@ -136,7 +136,7 @@
         return "unknown";
     }
 
-    /** What a caller may know of its own request. */
+    /** @return The request's state, to which only the account that sent the request has access. */
     [[nodiscard]] json requestState(const CoreState& state, const std::string& argument)
     {
         const auto question = parseCallersQuestion(argument);
--- a/src/node/Peers.cpp
+++ b/src/node/Peers.cpp
@@ -96,12 +96,12 @@
     }
     std::vector<Incarnation> suspected;
     for (const auto& event : due.events) {
-        report(event, suspected);
+        handleEvent(event, suspected);
     }
     return suspected;
 }
 
-void Peers::report(const membership::MembershipEvent& event, std::vector<Incarnation>& suspected)
+void Peers::handleEvent(const membership::MembershipEvent& event, std::vector<Incarnation>& suspected)
 {
     std::visit(internal::EventLogger(context_, suspected), event);
 }
--- a/src/node/Peers.h
+++ b/src/node/Peers.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::node {
 
-/** The other routers: who lives, and how to send to them. */
+/** The other routers: their membership state, and sending messages to them. */
 class Peers {
 public:
     explicit Peers(Context& context);
@@ -17,20 +17,30 @@
     void onHeartbeat(Incarnation from, const PeerAddress& address, const Heartbeat& heartbeat);
     void onVmList(const std::vector<ListedVm>& vms);
 
-    /** Sends due heartbeats, logs what changed. @return Peers suspected since the last tick. */
+    /**
+     * @brief Sends due heartbeats and logs membership changes.
+     * @param own The heartbeat to send.
+     * @return Peers suspected since the last tick.
+     */
     [[nodiscard]] std::vector<Incarnation> tick(const Heartbeat& own);
 
-    /** Sends to an incarnation; dropped when nobody knows where it is, as any message may be. */
+    /**
+     * @brief Sends a message to an incarnation. Like any message, it may be lost: it is dropped when the incarnation's
+     * address is unknown.
+     * @param shard Number of the ledger shard that the message belongs to; 0 for messages of no shard.
+     */
     void send(Incarnation to, PeerMessage message, std::uint32_t shard = 0);
 
-    /** @return Whom to ask for a stream's records: one that reaches the log, else the nearest that lives. */
+    /** @return The peer to request a stream's records from: one that reaches the log, otherwise the nearest alive peer;
+     * std::nullopt when no peer is alive. */
     [[nodiscard]] std::optional<Incarnation> bestReader() const;
 
     [[nodiscard]] membership::Membership& membership() noexcept { return membership_; }
     [[nodiscard]] const membership::Membership& membership() const noexcept { return membership_; }
 
 private:
-    void report(const membership::MembershipEvent& event, std::vector<Incarnation>& suspected);
+    /** Logs the event; adds the peer to `suspected` if the event is a suspicion. */
+    void handleEvent(const membership::MembershipEvent& event, std::vector<Incarnation>& suspected);
 
     Context& context_;
     membership::Membership membership_;
--- a/src/node/Placement.cpp
+++ b/src/node/Placement.cpp
@@ -7,7 +7,7 @@
 
 namespace internal {
 
-    [[nodiscard]] std::int64_t figure(std::uint64_t value) { return static_cast<std::int64_t>(value); }
+    [[nodiscard]] std::int64_t toSigned(std::uint64_t value) { return static_cast<std::int64_t>(value); }
 
     [[nodiscard]] placement::Catalogue catalogueOf(const Services& services, const FailureDomain& domain)
     {
@@ -65,7 +65,7 @@
     if (records.end && lease_.fold().nextOffset() >= *records.end) {
         lease_.onCaughtUp(context_.now());
     }
-    noteChanges();
+    handleLeaseChanges();
 }
 
 void Placement::apply(Offset offset, const std::string& bytes)
@@ -80,7 +80,7 @@
 void Placement::onNeed(const placement::Need& need)
 {
     for (const auto& model : need.models) {
-        toldAt_[model] = context_.now();
+        needSeenAt_[model] = context_.now();
         if (planner_) {
             planner_->onUnserved(model, context_.now());
         }
@@ -90,11 +90,11 @@
 void Placement::onExpired(Offset oldest)
 {
     lease_.onExpired(oldest);
-    noteChanges();
+    handleLeaseChanges();
     follow(oldest);
 }
 
-void Placement::noteChanges()
+void Placement::handleLeaseChanges()
 {
     for (const auto& change : lease_.takeChanges()) {
         context_.log(LogLineBuilder("lease")
@@ -102,10 +102,10 @@
                          .with("domain", context_.settings().domain.value())
                          .with("holder", toHex(change.holder.value()))
                          .with("own", change.holder == context_.self())
-                         .with("fencing", internal::figure(change.fencing)));
-        const bool begins
+                         .with("fencing", internal::toSigned(change.fencing)));
+        const bool leaseTermBegins
             = change.kind == placement::LeaseChangeKind::Taken || change.kind == placement::LeaseChangeKind::Resumed;
-        if (begins) {
+        if (leaseTermBegins) {
             beginLeaseTerm();
         } else {
             endLeaseTerm();
@@ -115,12 +115,14 @@
 
 void Placement::beginLeaseTerm()
 {
-    // What was wished before a lapse may have been changed by another holder: the reports tell anew.
+    // Another holder may have changed the engines' models since this router's last term: the planner starts from the
+    // engines' load reports.
     planner_.emplace(placement::PlannerSettings {}, context_.now());
     catalogueAsOf_.reset();
     refreshCatalogue();
-    // What was told before anybody had the lease is told once only: it would wait for the next refusals.
-    for (const auto& [model, when] : toldAt_) {
+    // Needs that were reported while no router held the lease are not reported again: without this the models would be
+    // loaded only after further refusals.
+    for (const auto& [model, when] : needSeenAt_) {
         planner_->onUnserved(model, context_.now());
     }
     for (const auto& model : needs_) {
@@ -160,7 +162,7 @@
 {
     if (!answered.accepted && answered.fencing > lease_.fencing()) {
         lease_.onStale(answered.fencing);
-        noteChanges();
+        handleLeaseChanges();
     }
     if (planner_) {
         planner_->onAnswer(answered.backend, answered.accepted, context_.now());
@@ -171,7 +173,7 @@
 {
     if (planner_) {
         planner_->onUnserved(model, context_.now());
-    } else if (!model.empty() && needs_.size() < mostNeeds) {
+    } else if (!model.empty() && needs_.size() < maxNeeds) {
         needs_.insert(model);
     }
 }
@@ -182,29 +184,29 @@
     if (const auto claim = lease_.due(eligible, context_.now())) {
         context_.emit(Append { stream_, placement::encode(*claim) });
     }
-    noteChanges();
+    handleLeaseChanges();
     if (eligible) {
-        tellNeeds();
+        appendNeeds();
     }
     planWhenDue();
     context_.gauge("swiftlift_order_lease_held", lease_.mayIssueOrders(context_.now()) ? 1 : 0);
 }
 
-void Placement::tellNeeds()
+void Placement::appendNeeds()
 {
     const Instant now = context_.now();
-    std::erase_if(toldAt_, [&](const auto& entry) { return now >= entry.second + needPause; });
-    // What goes wrong: a service without an engine is asked for at every router, and each refusal is an append: the log
-    // is throttled and the ledger with it. So one record names all models, and a model that anybody told of is not told
-    // again for a while.
-    std::erase_if(needs_, [&](const auto& model) { return toldAt_.contains(model); });
-    if (needs_.empty() || now < nextNeed_) {
+    std::erase_if(needSeenAt_, [&](const auto& entry) { return now >= entry.second + needRepeatPause; });
+    // Requests for a service without an engine may arrive at every router. One append per refusal would make the log
+    // throttle all appends, the ledger's included. So one record names all models, and a model that any router has
+    // reported is not reported again for a while.
+    std::erase_if(needs_, [&](const auto& model) { return needSeenAt_.contains(model); });
+    if (needs_.empty() || now < nextNeedRecord_) {
         return;
     }
-    nextNeed_ = now + needPeriod;
+    nextNeedRecord_ = now + needRecordPeriod;
     const placement::Need need { { needs_.begin(), needs_.end() } };
     for (const auto& model : need.models) {
-        toldAt_[model] = now;
+        needSeenAt_[model] = now;
     }
     needs_.clear();
     context_.emit(Append { stream_, placement::encode(need) });
@@ -225,9 +227,8 @@
 
 void Placement::sendOrder(const placement::Order& order)
 {
-    // What goes wrong: the lease ran out while the plan was made, and the engine gets an order of a router whose
-    // successor orders something else. So the lease is asked for each order; an order that is left out is due again in
-    // the next plan of whoever has the lease then.
+    // The lease may expire while orders are sent, and another holder may already order something else. So the lease is
+    // checked for each order; the next holder's plan has any order that is left out here.
     if (!lease_.mayIssueOrders(context_.now())) {
         return;
     }
@@ -235,29 +236,29 @@
                      .with("engine", order.backend.value())
                      .with("order", placement::toText(order.kind))
                      .with("name", order.model)
-                     .with("fencing", internal::figure(lease_.fencing()))
+                     .with("fencing", internal::toSigned(lease_.fencing()))
                      .with("urgency", placement::toText(order.urgency))
                      .with("reason", placement::toText(order.reason))
                      .with("repeated", order.repeated)
                      .with("utilisation", order.utilisation)
-                     .with("copies", internal::figure(order.copies))
-                     .with("unserved", internal::figure(order.unserved)));
+                     .with("copies", internal::toSigned(order.copies))
+                     .with("unserved", internal::toSigned(order.unserved)));
     context_.count("swiftlift_orders_total", { { "kind", placement::toText(order.kind) } });
     context_.emit(SendOrder { order.backend, lease_.fencing(), placement::toBody(order), lease_.until() });
 }
 
 void Placement::logBlocked()
 {
-    if (planner_->blocked().empty() || context_.now() < nextBlocked_) {
+    if (planner_->blocked().empty() || context_.now() < nextBlockedLog_) {
         return;
     }
-    nextBlocked_ = context_.now() + blockedPeriod;
+    nextBlockedLog_ = context_.now() + blockedLogPeriod;
     for (const auto& blocked : planner_->blocked()) {
         context_.log(LogLineBuilder("order")
                          .with("order", "none")
                          .with("name", blocked.model)
                          .with("reason", "no engine of the domain can take it")
-                         .with("unserved", internal::figure(blocked.unserved)));
+                         .with("unserved", internal::toSigned(blocked.unserved)));
     }
 }
 
--- a/src/node/QuarantineCoordinator.cpp
+++ b/src/node/QuarantineCoordinator.cpp
@@ -27,13 +27,13 @@
 
 void QuarantineCoordinator::onRecords(const KeyedRecords& records)
 {
-    known_ = known_ || records.whole;
+    reportsRead_ = reportsRead_ || records.whole;
     for (const KeyedRecord& record : records.records) {
-        takeRecord(record);
+        applyRecord(record);
     }
 }
 
-void QuarantineCoordinator::takeRecord(const KeyedRecord& record)
+void QuarantineCoordinator::applyRecord(const KeyedRecord& record)
 {
     const auto id = quarantine::idOf(record.key);
     if (!id) {
@@ -49,7 +49,7 @@
         return;
     }
     if (const auto report = quarantine::decode(*record.value)) {
-        take(*report, "log");
+        applyReport(*report, "log");
     } else {
         context_.count("swiftlift_unreadable_records_total", { { "what", "crash_report" } });
     }
@@ -60,13 +60,13 @@
     for (const std::string& record : records.records) {
         const auto report = quarantine::decode(record);
         if (report && !quarantine_.knows(report->id)) {
-            outbox_.adopt(*report, context_.now() + adoptionDelay + partOf(adoptionSpread, report->id));
-            take(*report, "peer");
+            outbox_.adopt(*report, context_.now() + adoptionDelay + jitterFor(maxAdoptionJitter, report->id));
+            applyReport(*report, "peer");
         }
     }
 }
 
-void QuarantineCoordinator::take(const Report& report, const char* source)
+void QuarantineCoordinator::applyReport(const Report& report, const char* source)
 {
     if (!quarantine_.knows(report.id)) {
         logReport(report.id, report.failedInstance ? "lost" : "answered", report.requests.size(), source);
@@ -77,17 +77,17 @@
     }
     for (const Fingerprint& request : report.requests) {
         if (quarantine_.answeredRecently(request, context_.now())) {
-            acquit(request);
+            reportAnswered(request);
         }
     }
 }
 
 void QuarantineCoordinator::onRequestLost(
-    const Fingerprint& request, const BackendInstance& instance, const std::string& named)
+    const Fingerprint& request, const BackendInstance& instance, const std::string& callerRequestId)
 {
     quarantine_.onReport(outbox_.onRequestLost(request, instance, context_.now()), context_.now());
     context_.log(LogLineBuilder("suspect")
-                     .with("request", named)
+                     .with("request", callerRequestId)
                      .with("content", toHex(request.content))
                      .with("account", request.account.value())
                      .with("backend", instance.server.value())
@@ -96,32 +96,32 @@
 
 void QuarantineCoordinator::onAnswered(const Fingerprint& request)
 {
-    const bool told = quarantine_.serversEnded(request) >= worthAcquitting;
+    const bool isSuspect = quarantine_.serversEnded(request) >= minServersToReportAnswer;
     quarantine_.onAnswered(request, context_.now());
-    if (told) {
-        acquit(request);
+    if (isSuspect) {
+        reportAnswered(request);
     }
 }
 
-void QuarantineCoordinator::acquit(const Fingerprint& request)
+void QuarantineCoordinator::reportAnswered(const Fingerprint& request)
 {
     quarantine_.onReport(outbox_.onAnswered(request, context_.now()), context_.now());
 }
 
 void QuarantineCoordinator::onServerAnswered(const BackendInstance& instance, Instant sentAt)
 {
-    withdraw(outbox_.onInstanceAlive(instance, sentAt, fastestRestart), instance);
+    withdrawReports(outbox_.onInstanceAlive(instance, sentAt, minRestartTime), instance);
 }
 
 void QuarantineCoordinator::onServerSeen(const BackendInstance& instance, Instant at)
 {
-    withdraw(outbox_.onInstanceAlive(instance, at), instance);
+    withdrawReports(outbox_.onInstanceAlive(instance, at), instance);
 }
 
-void QuarantineCoordinator::withdraw(const std::vector<ReportId>& wrong, const BackendInstance& instance)
+void QuarantineCoordinator::withdrawReports(const std::vector<ReportId>& wrong, const BackendInstance& instance)
 {
     for (const ReportId& id : wrong) {
-        logReport(id, "wrong", 0, "still runs: " + instance.server.value());
+        logReport(id, "wrong", 0, "backend server still runs: " + instance.server.value());
         quarantine_.onWithdrawn(id);
     }
 }
@@ -130,48 +130,48 @@
 {
     const auto routers = static_cast<Duration::rep>(peers_.membership().counts().alive) + 1;
     if (const auto order = outbox_.due(writeSpacingPerRouter * routers, context_.now())) {
-        write(*order);
+        writeReport(*order);
     }
     if (context_.now() >= nextExpiry_) {
         nextExpiry_ = context_.now() + expiryPeriod;
-        expire();
+        dropExpired();
     }
 }
 
 void QuarantineCoordinator::onLogAnswer() noexcept { unansweredWrites_ = std::max(unansweredWrites_ - 1, 0); }
 
-void QuarantineCoordinator::write(const quarantine::ReportOrder& order)
+void QuarantineCoordinator::writeReport(const quarantine::ReportOrder& order)
 {
-    if (unansweredWrites_ < mostUnansweredWrites) {
+    if (unansweredWrites_ < maxUnansweredWrites) {
         ++unansweredWrites_;
         std::string record = order.report ? quarantine::encode(*order.report) : std::string {};
         context_.emit(Append { stream(), std::move(record), quarantine::keyOf(order.id) });
     }
     if (order.report && order.first) {
-        tellPeers(*order.report);
+        sendToPeers(*order.report);
     }
 }
 
-void QuarantineCoordinator::tellPeers(const Report& report)
+void QuarantineCoordinator::sendToPeers(const Report& report)
 {
     for (const Incarnation peer : peers_.membership().alivePeers()) {
         peers_.send(peer, Records { stream(), Offset {}, { quarantine::encode(report) } });
     }
 }
 
-void QuarantineCoordinator::expire()
+void QuarantineCoordinator::dropExpired()
 {
     for (const ReportId& id : quarantine_.expire(context_.now())) {
         const bool own = id.reporter == context_.self();
-        outbox_.drop(id, context_.now() + (own ? Duration {} : partOf(dropSpread, id)));
+        outbox_.drop(id, context_.now() + (own ? Duration {} : jitterFor(maxDropJitter, id)));
     }
     context_.gauge("swiftlift_quarantine_suspects", static_cast<double>(quarantine_.suspects()));
 }
 
-Duration QuarantineCoordinator::partOf(Duration spread, const ReportId& id) const
+Duration QuarantineCoordinator::jitterFor(Duration maxJitter, const ReportId& id) const
 {
     const std::uint64_t mixed = context_.self().value() ^ id.reporter.value() ^ id.number;
-    return Duration { static_cast<Duration::rep>(mixed % static_cast<std::uint64_t>(spread.count())) };
+    return Duration { static_cast<Duration::rep>(mixed % static_cast<std::uint64_t>(maxJitter.count())) };
 }
 
 void QuarantineCoordinator::logReport(
--- a/src/node/QuarantineCoordinator.h
+++ b/src/node/QuarantineCoordinator.h
@@ -14,79 +14,97 @@
 namespace swiftlift::node {
 
 /**
- * @brief Requests that crash backend servers, as all routers of the fleet have reported them.
+ * @brief Shares reports on requests that crash backend servers among all routers of the fleet.
  *
- * Reports go from router to router, which takes milliseconds and works while the log is out of reach, and through a
- * keyed stream of the log, for routers that start anew or are cut off from their peers.
+ * Reports are sent from router to router, which takes milliseconds and works while the log is unreachable, and are
+ * written to a keyed stream of the log, for routers that start or are partitioned from their peers.
  */
 class QuarantineCoordinator {
 public:
     QuarantineCoordinator(Context& context, Peers& peers);
 
     void start();
+    /** Applies reports that were read from the log. */
     void onRecords(const KeyedRecords& records);
-    /** A peer tells its reports. */
+    /** Applies reports that a peer has sent. */
     void onPeerRecords(const Records& records);
-    /** A write, or a read, of the reports has got its answer or has failed. */
+    /** Handles that a write or read of the report stream was answered or has failed. */
     void onLogAnswer() noexcept;
     void tick();
 
-    /** The request was lost with a backend server. @param named For logs: the caller's id of it. */
-    void onRequestLost(
-        const quarantine::Fingerprint& request, const quarantine::BackendInstance& instance, const std::string& named);
+    /**
+     * @brief Handles that a backend server instance ended while it ran the request.
+     * @param request Fingerprint of the request.
+     * @param instance The instance that ended.
+     * @param callerRequestId The caller's id of the request, for log lines.
+     */
+    void onRequestLost(const quarantine::Fingerprint& request, const quarantine::BackendInstance& instance,
+        const std::string& callerRequestId);
+    /** Handles that a backend server has answered the request without crashing. */
     void onAnswered(const quarantine::Fingerprint& request);
-    /** The server answers what was sent to it at this moment. */
+    /** Handles that the instance has answered a request that was sent to it at `sentAt`. */
     void onServerAnswered(const quarantine::BackendInstance& instance, Instant sentAt);
-    /** @param at When this life of the server still ran. */
+    /**
+     * @brief Handles that the instance has renewed its entry.
+     * @param at A moment at which the instance ran.
+     */
     void onServerSeen(const quarantine::BackendInstance& instance, Instant at);
 
-    /** @return Why the request must not be sent to any backend server; nothing: it may. */
+    /** @return Why the request must not be sent to any backend server; std::nullopt when it may be sent. */
     [[nodiscard]] std::optional<quarantine::QuarantineEntry> quarantineEntry(
         const quarantine::Fingerprint& request) const
     {
         return quarantine_.quarantineEntry(request);
     }
 
-    /** @return True when the reports of before this router's start have been read. */
-    [[nodiscard]] bool known() const noexcept { return known_; }
+    /** @return True once the reports from before this router's start have been read. */
+    [[nodiscard]] bool known() const noexcept { return reportsRead_; }
 
     [[nodiscard]] static const StreamName& stream();
 
 private:
-    /** All routers hear each report; the pause bounds the reads of a fleet in which many servers end. */
+    /** Pause between two reads. Each report completes a read at every router: the pause bounds the number of reads
+     * while many servers end. */
     static constexpr Duration readPause = std::chrono::milliseconds(300);
-    /** Reports that the whole fleet writes in a second, at most, are a quarter of what its log takes. */
+    /** Time between two writes, times the number of routers: the whole fleet's reports take at most a quarter of the
+     * appends that the log handles in a second. */
     static constexpr Duration writeSpacingPerRouter = std::chrono::milliseconds(5);
-    /** Writes that wait for the log. More would hold up the ledger's after an outage. */
-    static constexpr int mostUnansweredWrites = 4;
-    /** A server that answers so soon after a loss has not started again meanwhile, known as it is or not. */
-    static constexpr Duration fastestRestart = std::chrono::milliseconds(500);
+    /** Maximum number of writes without an answer. More would delay the ledger's appends after an outage. */
+    static constexpr int maxUnansweredWrites = 4;
+    /** No server restarts faster than this: one that answers sooner after a loss is still the same instance. */
+    static constexpr Duration minRestartTime = std::chrono::milliseconds(500);
+    /** Time between two searches for expired reports. */
     static constexpr Duration expiryPeriod = std::chrono::seconds(1);
-    /** Routers drop an old report of another one at moments of their own within this time: the first spares the rest
-     * the call. */
-    static constexpr Duration dropSpread = std::chrono::minutes(10);
-    /** Another router's report that was not read from the log for so long, and this spread, is written for it. */
+    /** Each router removes other routers' expired reports at its own moment within this time, so that usually one
+     * router writes the removal for all. */
+    static constexpr Duration maxDropJitter = std::chrono::minutes(10);
+    /** A report that a peer has sent is written to the log by this router unless it has been read from the log within
+     * this delay plus a jitter. */
     static constexpr Duration adoptionDelay = std::chrono::seconds(5);
-    static constexpr Duration adoptionSpread = std::chrono::seconds(10);
-    /** Under a request that was lost with so many servers, its answer is told to the other routers. */
-    static constexpr std::size_t worthAcquitting = 2;
+    static constexpr Duration maxAdoptionJitter = std::chrono::seconds(10);
+    /** A request that was lost with at least this many servers is reported to the other routers when it is answered. */
+    static constexpr std::size_t minServersToReportAnswer = 2;
 
-    void takeRecord(const KeyedRecord& record);
-    void take(const quarantine::Report& report, const char* source);
-    void acquit(const quarantine::Fingerprint& request);
-    void write(const quarantine::ReportOrder& order);
-    void withdraw(const std::vector<quarantine::ReportId>& wrong, const quarantine::BackendInstance& instance);
-    void tellPeers(const quarantine::Report& report);
-    void expire();
-    /** @return A part of the time that is this router's own for the report. */
-    [[nodiscard]] Duration partOf(Duration spread, const quarantine::ReportId& id) const;
+    void applyRecord(const KeyedRecord& record);
+    void applyReport(const quarantine::Report& report, const char* source);
+    /** Reports that the request was answered, which clears it of suspicion. */
+    void reportAnswered(const quarantine::Fingerprint& request);
+    /** Writes a report, or its removal, to the log; sends a new report to the peers. */
+    void writeReport(const quarantine::ReportOrder& order);
+    /** Withdraws reports that named an instance that still runs. */
+    void withdrawReports(const std::vector<quarantine::ReportId>& wrong, const quarantine::BackendInstance& instance);
+    void sendToPeers(const quarantine::Report& report);
+    /** Orders the removal of expired reports. */
+    void dropExpired();
+    /** @return A delay below `maxJitter` that is fixed for this router and report and differs between routers. */
+    [[nodiscard]] Duration jitterFor(Duration maxJitter, const quarantine::ReportId& id) const;
     void logReport(const quarantine::ReportId& id, const char* change, std::size_t requests, const std::string& detail);
 
     Context& context_;
     Peers& peers_;
     quarantine::Quarantine quarantine_;
     quarantine::ReportOutbox outbox_;
-    bool known_ = false;
+    bool reportsRead_ = false;
     int unansweredWrites_ = 0;
     Instant nextExpiry_ {};
 };
--- a/src/node/RecordCache.h
+++ b/src/node/RecordCache.h
@@ -9,15 +9,16 @@
 
 namespace swiftlift::node {
 
-/** The latest raw records of a stream, to be passed on to peers that can't reach the log. */
+/** Cache of the latest raw records of a stream, for peers that can't reach the log. */
 class RecordCache {
 public:
+    /** Limit of the cached records' total size; the newest record is always kept. */
     static constexpr std::size_t maxBytes = 512 * 1024;
 
-    /** Adds the record at `offset`; a jump forgets all before it. */
+    /** Adds the record at `offset`. If it does not follow the previous record, all previous records are removed. */
     void add(Offset offset, const std::string& record)
     {
-        if (offset != next()) {
+        if (offset != nextOffset()) {
             records_.clear();
             bytes_ = 0;
             first_ = offset;
@@ -31,10 +32,14 @@
         }
     }
 
-    [[nodiscard]] bool holds(Offset offset) const noexcept { return offset >= first_ && offset < next(); }
+    [[nodiscard]] bool contains(Offset offset) const noexcept { return offset >= first_ && offset < nextOffset(); }
 
-    /** @return Records from `from` on, at most about `limit` bytes and at least one. */
-    [[nodiscard]] std::vector<std::string> from(Offset from, std::size_t limit) const
+    /**
+     * @param from Offset of the first record to return; contains() must be true of it.
+     * @param limit Size in bytes after which no further record is added.
+     * @return At least one record.
+     */
+    [[nodiscard]] std::vector<std::string> recordsFrom(Offset from, std::size_t limit) const
     {
         std::vector<std::string> result;
         std::size_t bytes = 0;
@@ -46,7 +51,8 @@
     }
 
 private:
-    [[nodiscard]] Offset next() const noexcept { return Offset { first_.value() + records_.size() }; }
+    /** @return Offset after the newest record. */
+    [[nodiscard]] Offset nextOffset() const noexcept { return Offset { first_.value() + records_.size() }; }
 
     std::deque<std::string> records_;
     Offset first_;
--- a/src/node/RemoteReplicas.cpp
+++ b/src/node/RemoteReplicas.cpp
@@ -6,7 +6,7 @@
 
 void RemoteReplicas::setTarget(std::optional<Incarnation> first, std::optional<Incarnation> second)
 {
-    // A second keeper that takes over keeps what it has acknowledged.
+    // When the second replica becomes the first, its acknowledgements remain valid.
     const bool takesOver = first && first == second_.replica() && first != first_.replica();
     if (takesOver) {
         std::swap(first_, second_);
@@ -15,12 +15,12 @@
     second_.setTarget(second);
 }
 
-std::vector<CopiesDue> RemoteReplicas::due(const ledger::Outbox& outbox, Duration period, Instant now)
+std::vector<CopiesDue> RemoteReplicas::takeDueCopies(const ledger::Outbox& outbox, Duration period, Instant now)
 {
     std::vector<CopiesDue> all;
-    for (ReplicaLink* route : { &first_, &second_ }) {
-        if (ledger::Batch batch = route->due(outbox, period, now); !batch.items.empty()) {
-            all.push_back({ *route->replica(), std::move(batch) });
+    for (ReplicaLink* link : { &first_, &second_ }) {
+        if (ledger::Batch batch = link->takeDueItems(outbox, period, now); !batch.items.empty()) {
+            all.push_back({ *link->replica(), std::move(batch) });
         }
     }
     return all;
@@ -32,33 +32,33 @@
     second_.onCopied(from, sequence, last, now);
 }
 
-bool RemoteReplicas::secures(std::uint64_t sequence, Instant now) const noexcept
+bool RemoteReplicas::isSecured(std::uint64_t sequence, Instant now) const noexcept
 {
-    const bool atFirst = first_.holds(sequence);
-    const bool atSecond = second_.holds(sequence);
-    return (atFirst && (atSecond || !second_.inTouch(now))) || (atSecond && !first_.inTouch(now));
+    const bool atFirst = first_.hasCopyOf(sequence);
+    const bool atSecond = second_.hasCopyOf(sequence);
+    return (atFirst && (atSecond || !second_.isResponsive(now))) || (atSecond && !first_.isResponsive(now));
 }
 
 std::vector<Incarnation> RemoteReplicas::replicasOf(std::uint64_t sequence) const
 {
-    std::vector<Incarnation> keepers;
-    for (const ReplicaLink* route : { &first_, &second_ }) {
-        if (route->holds(sequence)) {
-            keepers.push_back(*route->replica());
+    std::vector<Incarnation> replicas;
+    for (const ReplicaLink* link : { &first_, &second_ }) {
+        if (link->hasCopyOf(sequence)) {
+            replicas.push_back(*link->replica());
         }
     }
-    return keepers;
+    return replicas;
 }
 
-std::vector<Incarnation> RemoteReplicas::inTouch(Instant now) const
+std::vector<Incarnation> RemoteReplicas::responsiveReplicas(Instant now) const
 {
-    std::vector<Incarnation> keepers;
-    for (const ReplicaLink* route : { &first_, &second_ }) {
-        if (route->inTouch(now)) {
-            keepers.push_back(*route->replica());
+    std::vector<Incarnation> replicas;
+    for (const ReplicaLink* link : { &first_, &second_ }) {
+        if (link->isResponsive(now)) {
+            replicas.push_back(*link->replica());
         }
     }
-    return keepers;
+    return replicas;
 }
 
 } // namespace swiftlift::node
--- a/src/node/RemoteReplicas.h
+++ b/src/node/RemoteReplicas.h
@@ -12,37 +12,41 @@
 
 namespace swiftlift::node {
 
-/** Items that are due to one keeper. */
+/** Items to be sent to one replica. */
 struct CopiesDue {
     Incarnation replica;
     ledger::Batch batch;
 };
 
 /**
- * @brief Copies of this router's ledger items beyond its failure domain, at two keepers.
+ * @brief Copies of this router's ledger items outside its failure domain, at two remote replicas.
  *
- * The second stands in another domain than the first where there is one: what both have outlives the loss of this
- * domain and of either keeper, or its domain, at the same moment.
+ * The second replica is in another domain than the first where there is one. So items that both have survive the
+ * simultaneous loss of this domain and of either replica, or its domain.
  */
 class RemoteReplicas {
 public:
-    /** @param first Gets all items. @param second Gets all items, too. */
+    /**
+     * @brief Sets the replicas. Each is sent all items.
+     * @param first The first replica; std::nullopt for none.
+     * @param second The second replica; std::nullopt for none.
+     */
     void setTarget(std::optional<Incarnation> first, std::optional<Incarnation> second);
 
-    /** @return What is to be sent now, to either; `period` as in ReplicaLink::due(). */
-    [[nodiscard]] std::vector<CopiesDue> due(const ledger::Outbox& outbox, Duration period, Instant now);
+    /** @return Items to be sent now, by replica; parameters as in ReplicaLink::takeDueItems(). */
+    [[nodiscard]] std::vector<CopiesDue> takeDueCopies(const ledger::Outbox& outbox, Duration period, Instant now);
 
-    /** As ReplicaLink::onCopied(). */
+    /** Handles an acknowledgement; parameters as in ReplicaLink::onCopied(). */
     void onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now);
 
-    /** @return True when a keeper has the item, and each one has it that answers in time. */
-    [[nodiscard]] bool secures(std::uint64_t sequence, Instant now) const noexcept;
+    /** @return True when at least one replica, and every responsive one, has the item. */
+    [[nodiscard]] bool isSecured(std::uint64_t sequence, Instant now) const noexcept;
 
-    /** @return Who has the item, as far as is known. */
+    /** @return Replicas that have acknowledged the item. */
     [[nodiscard]] std::vector<Incarnation> replicasOf(std::uint64_t sequence) const;
 
-    /** @return Keepers that answer in time, as far as is known. */
-    [[nodiscard]] std::vector<Incarnation> inTouch(Instant now) const;
+    /** @return Replicas without an overdue acknowledgement. */
+    [[nodiscard]] std::vector<Incarnation> responsiveReplicas(Instant now) const;
 
 private:
     ReplicaLink first_;
--- a/src/node/ReplicaLink.cpp
+++ b/src/node/ReplicaLink.cpp
@@ -13,26 +13,26 @@
     replica_ = replica;
 }
 
-ledger::Batch ReplicaLink::due(const ledger::Outbox& outbox, Duration period, Instant now)
+ledger::Batch ReplicaLink::takeDueItems(const ledger::Outbox& outbox, Duration period, Instant now)
 {
-    passOverPause(now);
+    excludeOwnPause(now);
     if (!replica_) {
         return {};
     }
-    silent_ = silent_ || overdue(now);
-    const bool isNew = outbox.lastSequence() > sent_ && now >= nextNew_;
-    const bool retryDue = copied_ < outbox.lastSequence() && now >= nextRetry_;
+    timedOut_ = timedOut_ || isAcknowledgementOverdue(now);
+    const bool isNew = outbox.lastSequence() > lastSent_ && now >= nextNew_;
+    const bool retryDue = lastCopied_ < outbox.lastSequence() && now >= nextRetry_;
     if (!isNew && !retryDue) {
         return {};
     }
-    ledger::Batch batch = outbox.copyAfter(retryDue ? copied_ : std::max(copied_, sent_));
-    sent_ = outbox.lastSequence();
+    ledger::Batch batch = outbox.copyAfter(retryDue ? lastCopied_ : std::max(lastCopied_, lastSent_));
+    lastSent_ = outbox.lastSequence();
     if (batch.items.empty()) {
-        // All of them have landed meanwhile: no acknowledgement has to come for them.
-        owedSince_.reset();
+        // All items have landed meanwhile, so no acknowledgement is due any more.
+        awaitingSince_.reset();
         return batch;
     }
-    owedSince_ = owedSince_.value_or(now);
+    awaitingSince_ = awaitingSince_.value_or(now);
     nextRetry_ = now + retryPeriod;
     nextNew_ = now + period;
     return batch;
@@ -40,31 +40,34 @@
 
 void ReplicaLink::onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now)
 {
-    if (from != replica_ || sequence > last || sequence <= copied_) {
+    if (from != replica_ || sequence > last || sequence <= lastCopied_) {
         return;
     }
-    copied_ = sequence;
-    silent_ = false;
-    owedSince_ = copied_ < sent_ ? std::optional(now) : std::nullopt;
+    lastCopied_ = sequence;
+    timedOut_ = false;
+    awaitingSince_ = lastCopied_ < lastSent_ ? std::optional(now) : std::nullopt;
 }
 
-bool ReplicaLink::inTouch(Instant now) const noexcept { return replica_ && !silent_ && !overdue(now); }
+bool ReplicaLink::isResponsive(Instant now) const noexcept
+{
+    return replica_ && !timedOut_ && !isAcknowledgementOverdue(now);
+}
 
-bool ReplicaLink::overdue(Instant now) const noexcept
+bool ReplicaLink::isAcknowledgementOverdue(Instant now) const noexcept
 {
-    const Instant counted = lastLook_ ? std::min(now, *lastLook_ + longestStep) : now;
-    return owedSince_ && counted - *owedSince_ >= patience;
+    const Instant effectiveNow = lastDueCall_ ? std::min(now, *lastDueCall_ + maxStep) : now;
+    return awaitingSince_ && effectiveNow - *awaitingSince_ >= acknowledgementTimeout;
 }
 
-// Whoever was paused itself takes a keeper that answered meanwhile for silent, and tells callers of bills that stand in
-// one failure domain alone.
-void ReplicaLink::passOverPause(Instant now)
+// Without this, a router that was paused would count a replica that had responded meanwhile as unresponsive, and would
+// answer callers whose bills are stored in one failure domain only.
+void ReplicaLink::excludeOwnPause(Instant now)
 {
-    const Duration gap = lastLook_ ? now - *lastLook_ : Duration {};
-    if (owedSince_ && gap > longestStep) {
-        *owedSince_ += gap - longestStep;
+    const Duration gap = lastDueCall_ ? now - *lastDueCall_ : Duration {};
+    if (awaitingSince_ && gap > maxStep) {
+        *awaitingSince_ += gap - maxStep;
     }
-    lastLook_ = now;
+    lastDueCall_ = now;
 }
 
 } // namespace swiftlift::node
--- a/src/node/ReplicaLink.h
+++ b/src/node/ReplicaLink.h
@@ -12,58 +12,68 @@
 namespace swiftlift::node {
 
 /**
- * @brief The way of copies of this router's ledger items to one keeper, and how far they have come.
+ * @brief Tracks which of this router's ledger items one replica has been sent and has acknowledged.
  *
- * Which items are due is decided here; sending them is the caller's.
+ * Decides which items are due; the caller sends them.
  */
 class ReplicaLink {
 public:
-    /** @param keeper Who keeps the copies from now on; nothing: nobody. Another one gets all items anew. */
+    /**
+     * @brief Sets the replica. A new replica is sent all items from the start.
+     * @param replica The replica from now on; std::nullopt for none.
+     */
     void setTarget(std::optional<Incarnation> replica);
 
     /**
-     * @param period Least time between two messages with new items.
-     * @return Items to be sent to the keeper now; empty when none are due.
+     * @brief Selects the items to send now, and counts them as sent.
+     * @param outbox This router's items that have not been read back.
+     * @param period Minimum time between two messages with new items.
+     * @return Items to be sent to the replica now; empty when none are due.
      */
-    [[nodiscard]] ledger::Batch due(const ledger::Outbox& outbox, Duration period, Instant now);
+    [[nodiscard]] ledger::Batch takeDueItems(const ledger::Outbox& outbox, Duration period, Instant now);
 
     /**
-     * @param sequence All items up to this one are kept by `from`.
-     * @param last The latest sequence that was given out; a later one is not this author's.
+     * @brief Handles an acknowledgement.
+     * @param from The peer that acknowledges; ignored unless it is the replica.
+     * @param sequence The peer has all items up to and including this one.
+     * @param last The latest sequence in the outbox. An acknowledgement of a later one is invalid and ignored.
      */
     void onCopied(Incarnation from, std::uint64_t sequence, std::uint64_t last, Instant now);
 
     [[nodiscard]] std::optional<Incarnation> replica() const noexcept { return replica_; }
 
-    /** @return True when the keeper has the item. */
-    [[nodiscard]] bool holds(std::uint64_t sequence) const noexcept { return replica_ && sequence <= copied_; }
+    /** @return True when the replica has acknowledged the item. */
+    [[nodiscard]] bool hasCopyOf(std::uint64_t sequence) const noexcept { return replica_ && sequence <= lastCopied_; }
 
-    /** @return True while a keeper answers in time, as far as is known. */
-    [[nodiscard]] bool inTouch(Instant now) const noexcept;
+    /** @return True when there is a replica and no acknowledgement of it is overdue. */
+    [[nodiscard]] bool isResponsive(Instant now) const noexcept;
 
 private:
-    /** Copies that were not acknowledged for so long are sent again. */
+    /** Copies that are not acknowledged within this time are sent again. */
     static constexpr Duration retryPeriod = std::chrono::milliseconds(150);
-    /** Without an acknowledgement for so long the keeper counts as out of touch: a hundred times the way to another
-     * failure domain of the same region and back, and less than a caller notices at the end of an answer. */
-    static constexpr Duration patience = std::chrono::milliseconds(100);
+    /** After this long without a due acknowledgement the replica counts as unresponsive: a hundred round trips to
+     * another failure domain of the same region, and a shorter delay than a caller notices at the end of an answer. */
+    static constexpr Duration acknowledgementTimeout = std::chrono::milliseconds(100);
 
-    /** A longer gap between two calls of due() is this process's own pause: acknowledgements may lie there unread. */
-    static constexpr Duration longestStep = std::chrono::milliseconds(50);
+    /** A longer gap between two calls of takeDueItems() means that this process was paused: acknowledgements may have
+     * arrived and not been processed yet. */
+    static constexpr Duration maxStep = std::chrono::milliseconds(50);
 
-    [[nodiscard]] bool overdue(Instant now) const noexcept;
-    void passOverPause(Instant now);
+    [[nodiscard]] bool isAcknowledgementOverdue(Instant now) const noexcept;
+    /** Moves the start of the wait for an acknowledgement by the length of this process's own pause. */
+    void excludeOwnPause(Instant now);
 
     std::optional<Incarnation> replica_;
-    /** The keeper has all items up to this sequence. */
-    std::uint64_t copied_ = 0;
-    std::uint64_t sent_ = 0;
-    /** Since when the keeper owes an acknowledgement. */
-    std::optional<Instant> owedSince_;
-    /** When due() was asked last. */
-    std::optional<Instant> lastLook_;
-    /** An acknowledgement was overdue, and none has come since. */
-    bool silent_ = false;
+    /** The replica has acknowledged all items up to this sequence. */
+    std::uint64_t lastCopied_ = 0;
+    /** All items up to this sequence have been sent. */
+    std::uint64_t lastSent_ = 0;
+    /** Since when an acknowledgement is due; std::nullopt when none is. */
+    std::optional<Instant> awaitingSince_;
+    /** When takeDueItems() was called last. */
+    std::optional<Instant> lastDueCall_;
+    /** An acknowledgement was overdue, and none has arrived since. */
+    bool timedOut_ = false;
     Instant nextNew_ {};
     Instant nextRetry_ {};
 };
--- a/src/node/ShardLedger.cpp
+++ b/src/node/ShardLedger.cpp
@@ -17,12 +17,12 @@
 
     [[nodiscard]] std::unique_ptr<ledger::HoldingPolicy> policyOf(const CoreSettings& settings)
     {
-        ledger::PolicySettings figures;
-        figures.splitBetween = settings.splitWays;
-        figures.watermarks = settings.watermarks;
-        figures.preallocationPercent = settings.preallocationPercent;
-        figures.witnessesClose = settings.answersWaitForBills();
-        auto policy = ledger::makePolicy(settings.holdingPolicy, figures);
+        ledger::PolicySettings policySettings;
+        policySettings.splitBetween = settings.splitWays;
+        policySettings.watermarks = settings.watermarks;
+        policySettings.preallocationPercent = settings.preallocationPercent;
+        policySettings.witnessesClose = settings.answersWaitForBills();
+        auto policy = ledger::makePolicy(settings.holdingPolicy, policySettings);
         assert(policy != nullptr && "the settings' check lets only known policies through");
         return policy;
     }
@@ -53,7 +53,7 @@
     , outbox_(context.self())
     , holder_(context.self(), internal::policyOf(context.settings()), fold_)
     , witness_(context.self(), fold_)
-    , copies_(fold_)
+    , peerItems_(fold_)
     , checkpoints_(context.settings().ledger.checkpointInterval, internal::checkpointSeed(context.settings(), stream_))
     , checkpointSchedule_(
           context.settings().ledger.checkpointInterval, internal::checkpointSeed(context.settings(), stream_))
@@ -63,9 +63,10 @@
 
 void ShardLedger::start()
 {
-    // A reader that begins at the oldest record kept, where older ones have expired, would be told so anyway.
-    wantsCheckpoint_ = checkpointsApart();
-    if (!wantsCheckpoint_) {
+    // Reading from offset 0 would only fail with LogExpired where old records have expired, so the checkpoint is read
+    // first.
+    needsCheckpoint_ = usesSeparateCheckpoints();
+    if (!needsCheckpoint_) {
         follow(fold_.nextOffset());
     }
 }
@@ -80,7 +81,7 @@
     return static_cast<std::uint32_t>(peers_.membership().counts().alive) + 1;
 }
 
-bool ShardLedger::checkpointsApart() const noexcept
+bool ShardLedger::usesSeparateCheckpoints() const noexcept
 {
     return context_.settings().ledger.checkpoints == CheckpointPlace::SeparateStream;
 }
@@ -107,7 +108,7 @@
     environment.logReachable = logInReach();
     environment.stopping = stopping;
     environment.caughtUp = caughtUp_;
-    // Routers that start together have heard few of the others yet, but the list of VMs is there.
+    // Routers that start together have received few heartbeats yet, but the list of VMs is available.
     const auto listed = static_cast<std::uint32_t>(peers_.membership().counts().listed) + 1;
     environment.routers = std::max(routers(), listed);
     environment.witness = peers_.membership().witness();
@@ -118,17 +119,17 @@
     appendCheckpointWhenDue();
     fundWhenDue();
     flush();
-    if (now >= nextRelay_) {
-        nextRelay_ = now + relayPeriod;
-        appendForTheDead();
-        closeForTheDead();
+    if (now >= nextAuthorCheck_) {
+        nextAuthorCheck_ = now + authorCheckPeriod;
+        appendForSilentAuthors();
+        closeSealedGrants();
     }
-    askPeer();
+    requestRecordsFromPeer();
 }
 
 bool ShardLedger::drained() const
 {
-    const bool leavesNoCopy = !stopping_ || copies_.size() == 0;
+    const bool leavesNoCopy = !stopping_ || peerItems_.size() == 0;
     return outbox_.empty() && holder_.drained() && leavesNoCopy;
 }
 
@@ -145,18 +146,18 @@
 
 void ShardLedger::appendCheckpointWhenDue()
 {
-    const bool worthIt = caughtUp_ && health_.reachable(context_.now()) && fold_.nextOffset().value() > 0;
-    if (!worthIt) {
+    const bool readyToAppend = caughtUp_ && health_.reachable(context_.now()) && fold_.nextOffset().value() > 0;
+    if (!readyToAppend) {
         return;
     }
-    if (checkpointsApart() && checkpointSchedule_.due(context_.now(), routers())) {
-        keepCheckpointApart();
-    } else if (!checkpointsApart() && checkpoints_.due(context_.now())) {
+    if (usesSeparateCheckpoints() && checkpointSchedule_.due(context_.now(), routers())) {
+        appendSeparateCheckpoint();
+    } else if (!usesSeparateCheckpoints() && checkpoints_.due(context_.now())) {
         append(fold_.checkpoint());
     }
 }
 
-void ShardLedger::keepCheckpointApart()
+void ShardLedger::appendSeparateCheckpoint()
 {
     ledger::Batch batch;
     batch.items.push_back({ context_.self(), 1, fold_.checkpoint() });
@@ -165,8 +166,8 @@
 
 void ShardLedger::fund(const BudgetRef& budget, Tokens total)
 {
-    const auto stagger = static_cast<std::uint64_t>(fundStagger.count() + 1);
-    funding_[budget] = { total, context_.now() + Duration { static_cast<Duration::rep>(random_() % stagger) } };
+    const auto delayRange = static_cast<std::uint64_t>(maxFundDelay.count() + 1);
+    funding_[budget] = { total, context_.now() + Duration { static_cast<Duration::rep>(random_() % delayRange) } };
     holder_.preallocate(budget);
 }
 
@@ -181,7 +182,7 @@
         if (funded || context_.now() < funding.due) {
             continue;
         }
-        funding.due = context_.now() + fundRepeat;
+        funding.due = context_.now() + fundRetryPeriod;
         context_.log(LogLineBuilder("fund").with("budget", toText(budget)).with("total", funding.total.value()));
         append(ledger::Fund { budget, funding.total });
     }
@@ -189,18 +190,19 @@
 
 Duration ShardLedger::batchPeriod() const
 {
-    if (const auto set = context_.settings().ledger.batchPeriod) {
-        return *set;
+    if (const auto configured = context_.settings().ledger.batchPeriod) {
+        return *configured;
     }
     const auto streams = static_cast<std::int64_t>(context_.settings().ledgerShards);
-    const Duration fair = Duration(std::chrono::seconds(1)) * (std::int64_t { routers() } * streams) / unhurriedAppends;
-    return std::min(fair, longestBatchPeriod);
+    const Duration period
+        = Duration(std::chrono::seconds(1)) * (std::int64_t { routers() } * streams) / maxRoutineAppendsPerSecond;
+    return std::min(period, maxBatchPeriod);
 }
 
 void ShardLedger::sendBatch()
 {
-    // Bills wait for company: a copy at the witness secures them meanwhile, and an append for each would be more than
-    // the log takes from a large fleet. What somebody waits for goes at once, and takes them along.
+    // Bills are batched: a copy at the witness secures them meanwhile, and one append per bill would overload the log
+    // in a large fleet. Items that a caller or another router waits for are appended at once, together with all bills.
     const Instant now = context_.now();
     if (!outbox_.wakeAt() && !urgent_ && now < nextBatch_) {
         return;
@@ -257,9 +259,9 @@
 
 void ShardLedger::append(ledger::Entry entry)
 {
-    const bool bill = std::holds_alternative<ledger::Bill>(entry);
-    const bool witnessed = peers_.membership().witness().has_value();
-    urgent_ = urgent_ || !bill || !witnessed || lacksRemoteReplica();
+    const bool isBill = std::holds_alternative<ledger::Bill>(entry);
+    const bool hasWitness = peers_.membership().witness().has_value();
+    urgent_ = urgent_ || !isBill || !hasWitness || lacksRemoteReplica();
     outbox_.add(std::move(entry));
 }
 
--- a/src/node/ShardLedger.h
+++ b/src/node/ShardLedger.h
@@ -26,7 +26,7 @@
 
 namespace swiftlift::node {
 
-/** Told what the ledger decides. */
+/** Receives decisions of the ledger. */
 class LedgerListener {
 public:
     LedgerListener() = default;
@@ -34,40 +34,45 @@
     LedgerListener(const LedgerListener&) = delete;
     LedgerListener& operator=(const LedgerListener&) = delete;
 
+    /** The ledger has decided which incarnation owns the request. */
     virtual void onClaimDecided(const RequestKey& key, Incarnation owner) = 0;
+    /** Tokens of the budget may have become available for waiting requests. */
     virtual void onTokensAvailable(const BudgetRef& budget) = 0;
-    /** This incarnation is over: nothing new may be started. */
+    /** This incarnation is retired: no new request may be started. */
     virtual void onRetired(const std::string& reason) = 0;
 };
 
-/** What may be told of a bill. */
+/** How certain it is that a bill will be charged, which decides whether a caller may get its answer. */
 enum class BillState : std::uint8_t {
-    /** It is read back, or copies of it are kept that will be appended: at the grant's witness, and at the keepers
-     * beyond the failure domain that answer; where none does, only while the log is out of reach as well. */
+    /**
+     * The bill has been read back from the log, or replicas have copies that they will append: the grant's witness and
+     * every remote replica that responds. While no remote replica responds, the witness's copy suffices only if the log
+     * is unreachable too.
+     */
     Secured,
-    /** The ledger refused it: the grant was closed under a holder that slept. */
+    /** The ledger refused the bill: the grant was closed while its holder was paused. */
     Refused,
-    /** It may still be refused: the grant's witness may close the grant without knowing of it. */
+    /** The ledger may still refuse the bill: the grant's witness has no copy of it and may close the grant. */
     Pending,
-    /** Nobody but this process can close the grant, so the bill will count; but it would be lost with this process. */
+    /** The grant is holder-only, so the bill will not be refused; but it would be lost with this process. */
     Alone,
 };
 
-/** Who has a bill besides this process. */
+/** Where a bill is stored besides this process. */
 struct BillReplicas {
-    /** It is read back from the log. */
+    /** The bill has been read back from the log. */
     bool landed = false;
-    /** The peer of the own failure domain that has a copy; nothing: none. */
+    /** The peer of this router's failure domain that has a copy; std::nullopt when there is none. */
     std::optional<Incarnation> near;
-    /** The peers beyond the failure domain that have a copy. */
+    /** The remote replicas that have a copy. */
     std::vector<Incarnation> distant;
 };
 
 /**
- * @brief One ledger stream as this router sees it: fold, outbox, holder and witness, kept in step.
+ * @brief This router's part in one ledger stream: keeps fold, outbox, holder and witness consistent with each other.
  *
- * What is read stands in ShardLedgerReading.cpp, what is appended in ShardLedger.cpp, what goes between routers in
- * ShardLedgerPeers.cpp.
+ * ShardLedgerReading.cpp reads the stream, ShardLedger.cpp appends to it, ShardLedgerPeers.cpp exchanges messages with
+ * other routers.
  */
 class ShardLedger {
 public:
@@ -75,110 +80,153 @@
 
     void start();
     void onRecords(const LogRecords& records);
-    /** @return True while it needs the newest checkpoint that is kept apart. */
-    [[nodiscard]] bool wantsCheckpoint() const noexcept { return wantsCheckpoint_; }
-    /** @param record The newest checkpoint that is kept apart; null when there is none. */
+    /** @return True while this shard needs the newest checkpoint from the checkpoint stream. */
+    [[nodiscard]] bool needsCheckpoint() const noexcept { return needsCheckpoint_; }
+    /** @param record The shard's newest record in the checkpoint stream; null when there is none. */
     void onCheckpoint(const std::string* record);
-    /** The log no longer has what was asked for. */
+    /**
+     * @brief Handles that the log no longer has the records that were requested.
+     * @param oldest Offset of the oldest record that the log still has.
+     */
     void onExpired(Offset oldest);
-    /** A peer's state, after every record below `asOf`. */
+    /** Restores a peer's fold as it was after every record below `asOf`, unless records have been read here. */
     void onPeerState(Offset asOf, const std::string& state);
+    /** Handles that the log has answered an append to this stream. */
     void onAppendAnswered();
+    /** Handles that an append to this stream, or a read of it, has failed. */
     void onAppendFailed();
+    /** Sends records from `offset` on to a peer that can't reach the log, or this router's fold instead. */
     void onReadAsk(Incarnation from, Offset offset);
     void onPeerMessage(Incarnation from, const PeerMessage& message);
+    /** Handles that the failure detector suspects the peer. */
     void onSuspected(Incarnation peer);
+    /** @param stopping This router stops and has no request in progress. */
     void tick(bool stopping);
 
+    /** @return A reservation of `amount` tokens for the request, or why there is none. */
     [[nodiscard]] std::variant<ledger::Reservation, ledger::Shortage> reserve(
         const BudgetRef& budget, const RequestKey& key, Tokens amount);
-    /** The request was refused while it waited for money: it is no demand any more. */
+    /** Removes from the demand a request that was refused while it waited for tokens. */
     void withdraw(const BudgetRef& budget, const RequestKey& key) { holder_.withdraw(budget, key, context_.now()); }
-    /** Bills the request. @return What has to be secured() before the caller is told. */
+    /**
+     * @brief Bills the request and ends its reservation.
+     * @param reservation The request's reservation.
+     * @param actual Tokens to bill.
+     * @return Sequence of the bill's item, for billState().
+     */
     [[nodiscard]] std::uint64_t settle(const ledger::Reservation& reservation, Tokens actual);
     /**
+     * @param sequence Sequence of the bill's item.
+     * @param grantId The grant that the bill names.
+     * @param holderOnly The grant is holder-only.
      * @param waited How long the caller has waited for the bill so far.
-     * @return Whether a caller may be told of the bill that this item is.
+     * @return The bill's state.
      */
     [[nodiscard]] BillState billState(
         std::uint64_t sequence, const GrantId& grantId, bool holderOnly, Duration waited) const;
-    /** @return Who has the item of that sequence, as far as is known here. */
+    /** @return Where the item of that sequence is stored, as far as it is acknowledged. */
     [[nodiscard]] BillReplicas replicasOf(std::uint64_t sequence) const;
+    /** @return True when no other process can close the reservation's grant. */
     [[nodiscard]] bool isHolderOnly(const ledger::Reservation& reservation) const;
-    /** Sees to it that the budget holds so much in all, and that a share of it is held here. */
+    /** Raises the budget to `total` tokens where it has less, and preallocates a share of the budget to this router. */
     void fund(const BudgetRef& budget, Tokens total);
     void setWeighting(const BudgetRef& budget, ledger::Weighting weighting);
-    /** Sends what is new to the witness and the log, without waiting for the next tick. */
+    /** Sends new items to the replicas and the log without waiting for the next tick. */
     void flush();
+    /** Ends a reservation without a bill. */
     void release(const ledger::Reservation& reservation);
+    /** Adds an entry to the outbox, to be appended with one of the next batches. */
     void append(ledger::Entry entry);
 
     [[nodiscard]] const StreamName& stream() const noexcept { return stream_; }
     [[nodiscard]] const ledger::Fold& fold() const noexcept { return fold_; }
     [[nodiscard]] const ledger::Holder& holder() const noexcept { return holder_; }
+    /** @return Number of own items that have not been read back from the log. */
     [[nodiscard]] std::size_t unread() const noexcept { return outbox_.pending(); }
-    /** @return True once the fold has reached the end that the log told, or a peer's state. */
+    /** @return True once the fold has reached the end of the log, or the end of what a peer has read. */
     [[nodiscard]] bool caughtUp() const noexcept { return caughtUp_; }
-    /** @return True when the log is reached, by this router itself or through a peer. */
+    /** @return True when this router reaches the log, directly or through a peer. */
     [[nodiscard]] bool logInReach() const;
-    /** @return True when nothing of this incarnation is left open in the ledger, and no peer's copy goes with a VM that
-     * stops. */
+    /** @return True when this incarnation has nothing left open in the ledger and, on a VM that stops, no unappended
+     * copies of peers' items either. */
     [[nodiscard]] bool drained() const;
-    /** @return Incarnations whose open grants name this router as witness, or whose copies it keeps. */
+    /** @return Incarnations whose open grants name this router as witness, or whose items have copies here. */
     [[nodiscard]] std::vector<Incarnation> watched() const;
 
 private:
-    static constexpr std::size_t peerAnswerBytes = 64 * 1024;
+    /** Approximate size of the records in one answer to a peer's ReadAsk. */
+    static constexpr std::size_t maxPeerAnswerBytes = 64 * 1024;
+    /** Time between two requests for records to a peer while the log is unreachable. */
     static constexpr Duration readAskPeriod = std::chrono::milliseconds(300);
-    /** Appends a second that the routers together make without need; the log takes several hundred. */
-    static constexpr std::int64_t unhurriedAppends = 100;
-    static constexpr Duration longestBatchPeriod = std::chrono::seconds(4);
-    /** How long a sealed grant stays open for what its holder, if it was only paused, has still to bill. */
-    static constexpr Duration closeGrace = std::chrono::seconds(10);
-    /** How long an answer waits for its bill to be read back while no keeper beyond the domain answers; a quiet append
-     * and its reading back take a tenth of it. */
-    static constexpr Duration landingPatience = std::chrono::milliseconds(500);
-    /** Without a word of an author for so long its copies are appended here: two heartbeats and some delay. */
-    static constexpr Duration authorSilence = std::chrono::milliseconds(1200);
-    static constexpr Duration relayPeriod = std::chrono::milliseconds(500);
-    static constexpr Duration longestCheckpointInterval = std::chrono::minutes(5);
-    /** What checkpoints may add to what each reader of the stream reads. */
+    /** Limit for all routers together, urgent appends not counted. The log handles several hundred appends a second. */
+    static constexpr std::int64_t maxRoutineAppendsPerSecond = 100;
+    /** Upper bound of the time between two routine batches, whatever the size of the fleet. */
+    static constexpr Duration maxBatchPeriod = std::chrono::seconds(4);
+    /** How long a sealed grant stays open, so that a holder that was only paused can append its outstanding bills. */
+    static constexpr Duration sealedGracePeriod = std::chrono::seconds(10);
+    /** How long an answer waits for its bill to be read back while no remote replica responds. On an idle log an append
+     * and reading it back take a tenth of this. */
+    static constexpr Duration maxLandingWait = std::chrono::milliseconds(500);
+    /** After this long without a message from an author, its items are appended here: two heartbeat periods and some
+     * delay. */
+    static constexpr Duration authorSilenceLimit = std::chrono::milliseconds(1200);
+    /** Time between two searches for silent authors and sealed grants. */
+    static constexpr Duration authorCheckPeriod = std::chrono::milliseconds(500);
+    /** Upper bound of the time between two checkpoints, whatever their size. */
+    static constexpr Duration maxCheckpointInterval = std::chrono::minutes(5);
+    /** Upper bound of the bytes per second that checkpoints add to what each reader of the stream reads. */
     static constexpr std::size_t checkpointBytesPerSecond = 1000;
-    /** All routers read a new total at the same moment; each writes it only if nobody has within this time. */
-    static constexpr Duration fundStagger = std::chrono::milliseconds(300);
-    static constexpr Duration fundRepeat = std::chrono::seconds(2);
+    /** All routers read a new total at the same moment. Each waits a random part of this time and then appends the
+     * total only if no other router has. */
+    static constexpr Duration maxFundDelay = std::chrono::milliseconds(300);
+    /** Time after which a total is appended again if it has not been read back. */
+    static constexpr Duration fundRetryPeriod = std::chrono::seconds(2);
 
+    /** Requests the stream's records from `from` on. */
     void follow(Offset from);
     void applyRecord(Offset offset, const std::string& record);
+    /** Restores the fold if the record has a suitable checkpoint, see `seekFrom_`. */
     void seekCheckpoint(Offset offset, const std::string& record);
+    /** @param source Where the checkpoint was read, for the log line. */
     void restoreFrom(const ledger::Checkpoint& checkpoint, const char* source);
     void onEffect(const ledger::Effect& effect);
-    /** An item of our own was refused. */
-    void noteRefused(const ledger::Refused& refused, const ledger::Batch& batch);
+    /** Records and logs that the ledger refused an item of this router. */
+    void recordRefusal(const ledger::Refused& refused, const ledger::Batch& batch);
     void execute(ledger::LedgerActions& actions);
+    /** @return Time between two routine batches: as configured, otherwise by the number of routers and streams. */
     [[nodiscard]] Duration batchPeriod() const;
-    void readNewGrantsSoon(const RaiseCeilings& raise);
+    void expediteReadOfNewGrants(const RaiseCeilings& raise);
+    /** Appends the next batch of the outbox if one is due. */
     void sendBatch();
     void sendCopies();
-    void sendNearCopies();
+    void sendWitnessCopies();
     void sendRemoteCopies();
+    /** Logs when other remote replicas respond than before; without any, held back bills become urgent. */
     void noteRemoteReplicas();
-    /** @return True while bills get no copy beyond the failure domain though there are VMs to give one to. */
+    /** @return True while no remote replica responds although there are VMs outside this failure domain. */
     [[nodiscard]] bool lacksRemoteReplica() const;
     void onCopyItems(Incarnation from, const CopyItems& message);
     void onItemsCopied(Incarnation from, const ItemsCopied& message);
-    [[nodiscard]] bool appendsFor(Incarnation author) const;
-    void appendForTheDead();
-    void closeForTheDead();
+    /** @return True when the author's items should be appended here: the author is silent, its grants are sealed, or
+     * this router stops. */
+    [[nodiscard]] bool shouldAppendFor(Incarnation author) const;
+    void appendForSilentAuthors();
+    /** Closes sealed grants whose grace period is over and whose holder's items have landed. */
+    void closeSealedGrants();
+    /** Appends a record; through a peer as well while this router can't reach the log. */
     void appendRecord(std::string record);
     void sendToShard(Incarnation to, PeerMessage message);
-    void askPeer();
+    void requestRecordsFromPeer();
+    /** @return Time between checkpoints of this size in bytes. */
     [[nodiscard]] Duration checkpointIntervalOf(std::size_t bytes) const;
     void appendCheckpointWhenDue();
-    void keepCheckpointApart();
+    /** Writes a checkpoint to the checkpoint stream. */
+    void appendSeparateCheckpoint();
+    /** Appends the total of each budget that the fold shows below its configured total. */
     void fundWhenDue();
-    [[nodiscard]] bool checkpointsApart() const noexcept;
-    /** @return Routers that live, as far as is known, this one included. */
+    /** @return True when checkpoints are written to the checkpoint stream, and not to the ledger stream itself. */
+    [[nodiscard]] bool usesSeparateCheckpoints() const noexcept;
+    /** @return Number of alive routers, as far as is known, including this one. */
     [[nodiscard]] std::uint32_t routers() const;
 
     Context& context_;
@@ -192,37 +240,40 @@
     ledger::Holder holder_;
     ledger::Witness witness_;
     RecordCache cache_;
-    ItemCopies copies_;
-    /** Peers that were suspected: as their witness this router takes no more copies of theirs. */
+    ItemCopies peerItems_;
+    /** Peers that were suspected: this router, as their witness, accepts no more copies of their items. */
     std::set<Incarnation> suspected_;
-    /** To the witness, which may close our grants once it suspects us: it must know of a bill before a caller does. */
-    ReplicaLink nearCopies_;
-    /** To peers beyond the failure domain, which outlive holder and witness when they die together. */
+    /** Copies to the witness, which may close this router's grants once it suspects this router: it must have a bill
+     * before the caller gets its answer. */
+    ReplicaLink witnessReplica_;
+    /** Copies outside the failure domain, which survive when holder and witness die together. */
     RemoteReplicas remoteReplicas_;
-    /** Those that answered when that was last said. */
+    /** The responsive remote replicas that were logged last. */
     std::vector<Incarnation> reportedReplicas_;
-    /** Something waits in the outbox that a caller or another router waits for. */
+    /** The outbox has an item that a caller or another router waits for. */
     bool urgent_ = false;
-    /** More than bills was appended last. It is read back as soon as the log has it: the next batch, with a draw in it
-     * perhaps, waits until then. */
+    /** The last batch was urgent. It is read back as soon as the log has it, because the next batch, which may have a
+     * draw in it, waits until then. */
     bool readBackDue_ = false;
     Instant nextBatch_ {};
-    /** Items of our own that the ledger refused. */
+    /** Sequences of own items that the ledger refused. */
     std::set<std::uint64_t> refused_;
-    /** Sealed grants that this witness will close, and when. */
+    /** When each sealed grant may be closed by this witness. */
     std::map<GrantId, Instant> closeAt_;
+    /** Sealed grants whose CloseGrant has been appended. */
     std::set<GrantId> closing_;
-    Instant nextRelay_ {};
+    Instant nextAuthorCheck_ {};
     config::SnapshotSchedule checkpoints_;
     ledger::CheckpointSchedule checkpointSchedule_;
+    /** Set while records are searched for a checkpoint that covers every record below this offset. */
     std::optional<Offset> seekFrom_;
     Instant nextReadAsk_ {};
     bool caughtUp_ = false;
     bool logWasReachable_ = false;
     bool stopping_ = false;
-    bool holeReported_ = false;
-    bool wantsCheckpoint_ = false;
-    /** What the configuration says that budgets hold in all, and when it may next be written. */
+    bool gapReported_ = false;
+    bool needsCheckpoint_ = false;
+    /** Total of a budget according to the configuration, and when the total may be appended next. */
     struct Funding {
         Tokens total;
         Instant due {};
--- a/src/node/ShardLedgerPeers.cpp
+++ b/src/node/ShardLedgerPeers.cpp
@@ -14,8 +14,8 @@
         peers_.send(from, Records { stream_, offset, {} });
         return;
     }
-    if (cache_.holds(offset)) {
-        peers_.send(from, Records { stream_, offset, cache_.from(offset, peerAnswerBytes) });
+    if (cache_.contains(offset)) {
+        peers_.send(from, Records { stream_, offset, cache_.recordsFrom(offset, maxPeerAnswerBytes) });
         return;
     }
     const ledger::Checkpoint checkpoint = fold_.checkpoint();
@@ -29,7 +29,7 @@
     std::visit(
         internal::Overloaded {
             [&](const RaiseCeilings& raise) {
-                readNewGrantsSoon(raise);
+                expediteReadOfNewGrants(raise);
                 witness_.onRaise(from, raise.ceilings, actions);
             },
             [&](const CeilingsAcked& acked) { holder_.onCeilingsAcked(from, acked.ceilings, now, actions); },
@@ -52,13 +52,13 @@
     execute(actions);
 }
 
-// A witness answers only for grants that it has read. Read in its own time, the grant would stay unspendable at its
-// holder, whose callers wait for it, as long as the witness pauses between two reads.
-void ShardLedger::readNewGrantsSoon(const RaiseCeilings& raise)
+// A witness acknowledges only grants that it has read. Without the expedited read the holder could not spend the grant,
+// and its callers would wait, until the witness's pause between two reads is over.
+void ShardLedger::expediteReadOfNewGrants(const RaiseCeilings& raise)
 {
-    const bool unread
-        = std::ranges::any_of(raise.ceilings, [this](const ledger::Ceiling& one) { return !fold_.grant(one.grant); });
-    if (unread) {
+    const bool grantUnread = std::ranges::any_of(
+        raise.ceilings, [this](const ledger::Ceiling& ceiling) { return !fold_.grant(ceiling.grant); });
+    if (grantUnread) {
         context_.emit(ExpediteRead { stream_ });
     }
 }
@@ -69,26 +69,27 @@
     witness_.suspect(peer, actions);
     execute(actions);
     suspected_.insert(peer);
-    if (peer == nearCopies_.replica()) {
-        nearCopies_.setTarget(std::nullopt);
+    if (peer == witnessReplica_.replica()) {
+        witnessReplica_.setTarget(std::nullopt);
     }
 }
 
 void ShardLedger::sendCopies()
 {
-    sendNearCopies();
+    sendWitnessCopies();
     sendRemoteCopies();
     noteRemoteReplicas();
 }
 
-void ShardLedger::sendNearCopies()
+void ShardLedger::sendWitnessCopies()
 {
     const auto witness = peers_.membership().witness();
     if (!witness) {
         return;
     }
-    nearCopies_.setTarget(witness);
-    const ledger::Batch batch = nearCopies_.due(outbox_, context_.settings().ledger.copyPeriod, context_.now());
+    witnessReplica_.setTarget(witness);
+    const ledger::Batch batch
+        = witnessReplica_.takeDueItems(outbox_, context_.settings().ledger.copyPeriod, context_.now());
     if (!batch.items.empty()) {
         sendToShard(*witness, CopyItems { stream_, ledger::encode(batch), false });
     }
@@ -99,33 +100,33 @@
     const auto& membership = peers_.membership();
     remoteReplicas_.setTarget(membership.remoteReplica(), membership.secondRemoteReplica());
     for (const auto& [replica, batch] :
-        remoteReplicas_.due(outbox_, context_.settings().ledger.copyPeriod, context_.now())) {
+        remoteReplicas_.takeDueCopies(outbox_, context_.settings().ledger.copyPeriod, context_.now())) {
         sendToShard(replica, CopyItems { stream_, ledger::encode(batch), true });
     }
 }
 
-// While none answers, a bill is safe only once the log has it, and where the log is out of reach too, callers are told
-// of bills that would be lost with this failure domain.
+// While no remote replica responds, a bill is safe only once it is in the log. Where the log is unreachable as well,
+// callers get answers whose bills would be lost with this failure domain.
 void ShardLedger::noteRemoteReplicas()
 {
-    std::vector<Incarnation> answering = remoteReplicas_.inTouch(context_.now());
-    if (answering == reportedReplicas_) {
+    std::vector<Incarnation> responsive = remoteReplicas_.responsiveReplicas(context_.now());
+    if (responsive == reportedReplicas_) {
         return;
     }
-    // Bills that waited for company with a copy in view.
+    // Bills were held back for batching because a remote copy would have secured them: append them now.
     urgent_ = urgent_ || (lacksRemoteReplica() && !outbox_.empty());
     context_.log(LogLineBuilder("copies")
                      .with("stream", stream_.value())
-                     .with("keepers", toHex(answering))
-                     .with("answers", !answering.empty())
+                     .with("keepers", toHex(responsive))
+                     .with("answers", !responsive.empty())
                      .with("log_in_reach", health_.reachable(context_.now())));
-    reportedReplicas_ = std::move(answering);
+    reportedReplicas_ = std::move(responsive);
 }
 
 bool ShardLedger::lacksRemoteReplica() const
 {
     return context_.settings().answersWaitForBills() && peers_.membership().knowsRemoteVms()
-        && remoteReplicas_.inTouch(context_.now()).empty();
+        && remoteReplicas_.responsiveReplicas(context_.now()).empty();
 }
 
 void ShardLedger::onCopyItems(Incarnation from, const CopyItems& message)
@@ -135,40 +136,42 @@
     if (!batch || batch->items.empty() || batch->items.front().origin != from) {
         return;
     }
-    // An acknowledgement lets the holder tell its caller of a bill. After the suspicion a witness may close the
-    // holder's grants, and the bill would be refused: so it gives none any more. A distant keeper closes nothing, and a
-    // suspicion across a partition that has healed must not keep it from its duty.
+    // An acknowledgement allows the holder to answer its caller. Once a witness suspects the holder, it may close the
+    // holder's grants, and the ledger would refuse the bill: so it acknowledges no more copies. A remote replica closes
+    // no grants, so it accepts copies again after a partition has healed.
     if (!message.distant && suspected_.contains(from)) {
         return;
     }
-    if (const auto sequence = copies_.keep(batch->items, context_.now())) {
+    if (const auto sequence = peerItems_.keep(batch->items, context_.now())) {
         sendToShard(from, ItemsCopied { stream_, *sequence });
     }
 }
 
 void ShardLedger::onItemsCopied(Incarnation from, const ItemsCopied& message)
 {
-    nearCopies_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
+    witnessReplica_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
     remoteReplicas_.onCopied(from, message.sequence, outbox_.lastSequence(), context_.now());
 }
 
-// The fold takes each item once, so an append in another's name does no harm and needs no suspicion: the sooner it is
-// made, the less is lost with a keeper that dies as well. An author whose grants are sealed here is over, and they are
-// closed only once its copies have landed. A router that stops takes its copies with it.
-bool ShardLedger::appendsFor(Incarnation author) const
+// The fold applies each item once, so appending an author's items is harmless even if the author is alive, and requires
+// no suspicion: the sooner they are appended, the fewer are lost if the replica dies too. An author whose grants are
+// sealed here counts as dead, and the grants are closed only once the copies of its items have landed. A router that
+// stops would lose its copies, so it appends them all.
+bool ShardLedger::shouldAppendFor(Incarnation author) const
 {
-    const std::optional<Instant> heard = std::max(peers_.membership().lastHeard(author), copies_.lastSent(author));
-    if (stopping_ || !heard || context_.now() - *heard >= authorSilence) {
+    const std::optional<Instant> lastContact
+        = std::max(peers_.membership().lastHeard(author), peerItems_.lastSent(author));
+    if (stopping_ || !lastContact || context_.now() - *lastContact >= authorSilenceLimit) {
         return true;
     }
     const std::vector<GrantId> sealed = witness_.sealed();
     return std::ranges::any_of(sealed, [author](const GrantId& grant) { return grant.holder == author; });
 }
 
-void ShardLedger::appendForTheDead()
+void ShardLedger::appendForSilentAuthors()
 {
-    for (const Incarnation author : copies_.authors()) {
-        const ledger::Batch batch = appendsFor(author) ? copies_.batchOf(author) : ledger::Batch {};
+    for (const Incarnation author : peerItems_.authors()) {
+        const ledger::Batch batch = shouldAppendFor(author) ? peerItems_.batchOf(author) : ledger::Batch {};
         if (batch.items.empty()) {
             continue;
         }
@@ -182,25 +185,25 @@
     }
 }
 
-void ShardLedger::closeForTheDead()
+void ShardLedger::closeSealedGrants()
 {
-    // What goes wrong otherwise: a router that passes events on as they come has given its callers tokens whose bills
-    // nobody else knows of. Closing frees them, and the account gets them twice. One notices only once the budget is
-    // used up: more was delivered than bought. So up to its ceiling a dead router's grant stays spent.
+    // A router that does not hold answers back until their bills are secured may have delivered tokens whose bills died
+    // with it. Closing its grant would free these tokens, and the account would get them twice, which shows only when
+    // the budget is used up: more was delivered than bought. So a dead router's grant stays spent up to its ceiling.
     if (!context_.settings().answersWaitForBills()) {
         return;
     }
     const Instant now = context_.now();
     for (const GrantId& grant : witness_.sealed()) {
-        const Instant due = closeAt_.try_emplace(grant, now + closeGrace).first->second;
-        const bool copiesLanded = copies_.batchOf(grant.holder).items.empty();
+        const Instant due = closeAt_.try_emplace(grant, now + sealedGracePeriod).first->second;
+        const bool copiesLanded = peerItems_.batchOf(grant.holder).items.empty();
         const bool inUse = holder_.borrowsFrom(grant);
         if (now < due || !copiesLanded || inUse || !outbox_.empty() || !closing_.insert(grant).second) {
             continue;
         }
-        // What goes wrong without this: a dead holder never closes its grants, and what it had not spent of its
-        // ceilings stays out of reach for good. One notices by refusals while a budget has money. It is safe because a
-        // holder tells no caller of a bill that neither has landed nor is copied here, and every copy has landed.
+        // A dead holder never closes its grants: the unspent tokens below their ceilings would stay unavailable for
+        // good, and requests would be refused while the budget has tokens. Closing is safe because a holder answers no
+        // caller before the bill has landed or is copied here, and every copy has landed.
         context_.log(LogLineBuilder("seal").with("grant", toText(grant)).with("state", "closing"));
         append(ledger::CloseGrant { grant });
     }
@@ -216,21 +219,22 @@
     }
     const auto grant = fold_.grant(grantId);
     const Incarnation witness = grant ? grant->witness : Incarnation {};
-    const bool byWitness = nearCopies_.holds(sequence) && (holderOnly || (grant && witness == nearCopies_.replica()));
-    const bool withoutWitness = holderOnly && !peers_.membership().witness();
-    const bool beyondDomain = remoteReplicas_.secures(sequence, context_.now());
-    if ((byWitness || withoutWitness) && beyondDomain) {
+    const bool copiedToWitness
+        = witnessReplica_.hasCopyOf(sequence) && (holderOnly || (grant && witness == witnessReplica_.replica()));
+    const bool holderOnlyWithoutWitness = holderOnly && !peers_.membership().witness();
+    const bool copiedRemotely = remoteReplicas_.isSecured(sequence, context_.now());
+    if ((copiedToWitness || holderOnlyWithoutWitness) && copiedRemotely) {
         return BillState::Secured;
     }
-    // What goes wrong without the copy beyond the domain: it loses its power milliseconds after an answer, holder and
-    // witness with it, and nobody is left to bill it. One notices by an answer without a bill. While no keeper there
-    // answers, the log does as well. Only where neither is reached the witness's copy has to do: callers would wait for
-    // a partition to heal.
-    const bool landsSoon = lacksRemoteReplica() && health_.reachable(context_.now()) && waited < landingPatience;
-    if (landsSoon) {
+    // Without a remote copy, a failure domain that loses power milliseconds after an answer takes holder and witness
+    // with it, and the answer is never billed. While no remote replica responds, a bill in the log is as safe. Only
+    // where neither is reachable does the witness's copy suffice, because callers would otherwise wait until a
+    // partition heals.
+    const bool awaitsLanding = lacksRemoteReplica() && health_.reachable(context_.now()) && waited < maxLandingWait;
+    if (awaitsLanding) {
         return BillState::Pending;
     }
-    if (byWitness && remoteReplicas_.inTouch(context_.now()).empty()) {
+    if (copiedToWitness && remoteReplicas_.responsiveReplicas(context_.now()).empty()) {
         return BillState::Secured;
     }
     return holderOnly ? BillState::Alone : BillState::Pending;
@@ -238,11 +242,11 @@
 
 BillReplicas ShardLedger::replicasOf(std::uint64_t sequence) const
 {
-    BillReplicas keepers;
-    keepers.landed = sequence <= fold_.lastSequence(context_.self());
-    keepers.near = nearCopies_.holds(sequence) ? nearCopies_.replica() : std::nullopt;
-    keepers.distant = remoteReplicas_.replicasOf(sequence);
-    return keepers;
+    BillReplicas replicas;
+    replicas.landed = sequence <= fold_.lastSequence(context_.self());
+    replicas.near = witnessReplica_.hasCopyOf(sequence) ? witnessReplica_.replica() : std::nullopt;
+    replicas.distant = remoteReplicas_.replicasOf(sequence);
+    return replicas;
 }
 
 bool ShardLedger::isHolderOnly(const ledger::Reservation& reservation) const
@@ -252,7 +256,7 @@
     return ownWitness || holder_.isHolderOnly(reservation);
 }
 
-void ShardLedger::askPeer()
+void ShardLedger::requestRecordsFromPeer()
 {
     if (health_.reachable(context_.now()) || context_.now() < nextReadAsk_) {
         return;
@@ -265,7 +269,7 @@
 
 std::vector<Incarnation> ShardLedger::watched() const
 {
-    const std::vector<Incarnation> authors = copies_.authors();
+    const std::vector<Incarnation> authors = peerItems_.authors();
     std::set<Incarnation> watched(authors.begin(), authors.end());
     for (const auto& grant : fold_.openGrants()) {
         if (grant.witness == context_.self() && grant.id.holder != context_.self()) {
@@ -279,7 +283,7 @@
 
 void ShardLedger::execute(ledger::LedgerActions& actions)
 {
-    // Handling one action may append more, so each is taken by index.
+    // Handling an action may append further actions to the vector, which invalidates iterators: iterate by index.
     for (std::size_t index = 0; index < actions.size(); ++index) {
         std::visit(
             internal::Overloaded {
--- a/src/node/ShardLedgerReading.cpp
+++ b/src/node/ShardLedgerReading.cpp
@@ -8,7 +8,7 @@
 
 void ShardLedger::onCheckpoint(const std::string* record)
 {
-    wantsCheckpoint_ = false;
+    needsCheckpoint_ = false;
     std::string reason;
     const auto batch = record == nullptr ? std::nullopt : ledger::decodeBatch(*record, reason);
     if (record != nullptr && !batch) {
@@ -34,7 +34,7 @@
                 return;
             }
         } else if (offset > fold_.nextOffset().value()) {
-            // A reader that skipped records would fold another state than the others: read again from the gap on.
+            // Skipping records would make this fold differ from those of other readers: read again from the gap on.
             follow(fold_.nextOffset());
             return;
         } else if (offset == fold_.nextOffset().value()) {
@@ -54,7 +54,7 @@
     std::string reason;
     const auto batch = ledger::decodeBatch(record, reason);
     std::vector<ledger::Effect> effects;
-    // An unreadable record is one that nobody can read: all readers skip it alike, as an empty batch.
+    // A record that can't be decoded here can't be decoded by any reader: all of them treat it as an empty batch.
     if (!fold_.apply(offset, batch.value_or(ledger::Batch {}), effects)) {
         listener_.onRetired(fold_.lastReason());
         return;
@@ -73,13 +73,13 @@
     for (const auto& effect : effects) {
         if (const auto* refused = std::get_if<ledger::Refused>(&effect);
             refused && refused->origin == context_.self()) {
-            noteRefused(*refused, *batch);
+            recordRefusal(*refused, *batch);
         }
         onEffect(effect);
     }
 }
 
-void ShardLedger::noteRefused(const ledger::Refused& refused, const ledger::Batch& batch)
+void ShardLedger::recordRefusal(const ledger::Refused& refused, const ledger::Batch& batch)
 {
     refused_.insert(refused.sequence);
     const auto item = std::ranges::find_if(batch.items, [&](const ledger::Item& candidate) {
@@ -97,17 +97,17 @@
 
 Duration ShardLedger::checkpointIntervalOf(std::size_t bytes) const
 {
-    const Duration fair = std::chrono::seconds(bytes / checkpointBytesPerSecond);
-    return std::clamp(fair, context_.settings().ledger.checkpointInterval, longestCheckpointInterval);
+    const Duration period = std::chrono::seconds(bytes / checkpointBytesPerSecond);
+    return std::clamp(period, context_.settings().ledger.checkpointInterval, maxCheckpointInterval);
 }
 
 void ShardLedger::onExpired(Offset oldest)
 {
-    // What goes wrong: the log has dropped records this reader has not seen. One notices it by the log's 410. A fold
-    // that went on after the hole would miss bills and grants, and admit money that is spent: so it starts again from a
-    // checkpoint, and this incarnation, whose own items it may have missed, takes on nothing new.
-    if (fold_.nextOffset().value() > 0 && !holeReported_) {
-        holeReported_ = true;
+    // The log has dropped records that this reader has not read, and answered 410. A fold that continued after the gap
+    // would miss bills and grants and admit tokens that are already spent. So the fold restarts from a checkpoint, and
+    // this incarnation, whose own items may be among the missed ones, is retired.
+    if (fold_.nextOffset().value() > 0 && !gapReported_) {
+        gapReported_ = true;
         listener_.onRetired("records expired before they were read");
     }
     context_.log(LogLineBuilder("ledger")
@@ -115,8 +115,8 @@
                      .with("stream", stream_.value())
                      .with("oldest", static_cast<std::int64_t>(oldest.value())));
     caughtUp_ = false;
-    if (checkpointsApart()) {
-        wantsCheckpoint_ = true;
+    if (usesSeparateCheckpoints()) {
+        needsCheckpoint_ = true;
         return;
     }
     seekFrom_ = oldest;
@@ -160,8 +160,8 @@
 
 void ShardLedger::onPeerState(Offset asOf, const std::string& state)
 {
-    const bool fresh = fold_.nextOffset().value() == 0;
-    if (!fresh || asOf.value() == 0) {
+    const bool isEmpty = fold_.nextOffset().value() == 0;
+    if (!isEmpty || asOf.value() == 0) {
         return;
     }
     restoreFrom(ledger::Checkpoint { asOf, state }, "peer");
@@ -171,7 +171,7 @@
 {
     if (const auto* landed = std::get_if<ledger::Landed>(&effect)) {
         outbox_.onLanded(*landed, context_.now());
-        copies_.onLanded(*landed);
+        peerItems_.onLanded(*landed);
     }
     if (const auto* claim = std::get_if<ledger::ClaimDecided>(&effect)) {
         listener_.onClaimDecided(claim->key, claim->owner);
--- a/src/node/StateChanges.cpp
+++ b/src/node/StateChanges.cpp
@@ -14,9 +14,10 @@
     if (std::exchange(logReachable_, reachable) == reachable) {
         return;
     }
-    context_.log(LogLineBuilder("log")
-                     .with("change", reachable ? "reachable" : "unreachable")
-                     .with("detail", reachable || !detail.empty() ? detail : "no answer for too long"));
+    context_.log(
+        LogLineBuilder("log")
+            .with("change", reachable ? "reachable" : "unreachable")
+            .with("detail", reachable || !detail.empty() ? detail : "no answer from the log within the silence limit"));
 }
 
 void StateChanges::noteBackend(const BackendId& backend, const routing::BackendTable& table)
--- a/src/node/StateChanges.h
+++ b/src/node/StateChanges.h
@@ -10,19 +10,23 @@
 namespace swiftlift::node {
 
 /**
- * @brief Logs when the platform's log, or a backend server, passes from one state to another.
+ * @brief Logs state changes of the platform's log and of backend servers.
  *
- * What goes wrong without it: requests go elsewhere, or wait, for a cause that no line names, since the change was
- * heard from a report or from a silence, and no decision went with it.
+ * Such a change comes from a load report, or from the lack of answers, and not with a decision that is logged. Without
+ * these lines requests would be sent to other servers, or wait, for a cause that no log line names.
  */
 class StateChanges {
 public:
     explicit StateChanges(Context& context);
 
-    /** @param detail What was heard last; empty after mere silence. */
+    /**
+     * @brief Logs the log's reachability if it has changed.
+     * @param detail The error that was received last; empty when no answer arrived.
+     */
     void noteLog(bool reachable, const std::string& detail);
+    /** Logs the backend server's state if it has changed. */
     void noteBackend(const BackendId& backend, const routing::BackendTable& table);
-    /** Forgets the backend servers that the table no longer knows. */
+    /** Removes backend servers that are not in the table any more. */
     void removeUnknown(const routing::BackendTable& table);
 
 private:
--- a/tests/node/ReplicaLinkTest.cpp
+++ b/tests/node/ReplicaLinkTest.cpp
@@ -7,7 +7,7 @@
 
     using std::chrono::milliseconds;
 
-    const Incarnation keeper { 7 };
+    const Incarnation replica { 7 };
     constexpr Duration period = milliseconds(20);
 
     class ReplicaLinkTest : public ::testing::Test {
@@ -15,44 +15,45 @@
         ReplicaLinkTest()
             : outbox_(Incarnation { 1 })
         {
-            route_.setTarget(keeper);
+            link_.setTarget(replica);
             (void)outbox_.add(ledger::CloseGrant {});
-            (void)route_.due(outbox_, period, now_);
+            (void)link_.takeDueItems(outbox_, period, now_);
         }
 
-        /** Lets time pass as a router that runs sees it. */
-        void pass(Duration time)
+        /** Advances the clock in steps, as for a router that is not paused. */
+        void advance(Duration time)
         {
             for (const Instant end = now_ + time; now_ < end;) {
                 now_ += period;
-                (void)route_.due(outbox_, period, now_);
+                (void)link_.takeDueItems(outbox_, period, now_);
             }
         }
 
         ledger::Outbox outbox_;
-        ReplicaLink route_;
+        ReplicaLink link_;
         Instant now_ { std::chrono::seconds(1) };
     };
 
-    TEST_F(ReplicaLinkTest, KeeperThatOwesAnAnswerTooLongIsOutOfTouch)
+    TEST_F(ReplicaLinkTest, ReplicaWithAnOverdueAcknowledgementIsUnresponsive)
     {
-        pass(milliseconds(80));
-        EXPECT_TRUE(route_.inTouch(now_));
-        pass(milliseconds(40));
-        EXPECT_FALSE(route_.inTouch(now_));
-        route_.onCopied(keeper, 1, 1, now_);
-        EXPECT_TRUE(route_.inTouch(now_));
+        advance(milliseconds(80));
+        EXPECT_TRUE(link_.isResponsive(now_));
+        advance(milliseconds(40));
+        EXPECT_FALSE(link_.isResponsive(now_));
+        link_.onCopied(replica, 1, 1, now_);
+        EXPECT_TRUE(link_.isResponsive(now_));
     }
 
-    // Bills told with copies in one domain only: an author that was paused took its keeper for silent.
-    TEST_F(ReplicaLinkTest, OwnPauseIsNotTheKeepersSilence)
+    // Guards against answers whose bills have copies in one failure domain only: an author that was paused counted its
+    // replica as unresponsive.
+    TEST_F(ReplicaLinkTest, OwnPauseDoesNotMakeTheReplicaUnresponsive)
     {
         now_ += std::chrono::seconds(2);
-        EXPECT_TRUE(route_.inTouch(now_)) << "asked before the acknowledgements that wait are read";
-        pass(milliseconds(20));
-        EXPECT_TRUE(route_.inTouch(now_));
-        pass(milliseconds(60));
-        EXPECT_FALSE(route_.inTouch(now_)) << "the pause counts as one step";
+        EXPECT_TRUE(link_.isResponsive(now_)) << "called before pending acknowledgements are processed";
+        advance(milliseconds(20));
+        EXPECT_TRUE(link_.isResponsive(now_));
+        advance(milliseconds(60));
+        EXPECT_FALSE(link_.isResponsive(now_)) << "the pause counts as one step of 50 ms";
     }
 
 } // namespace
