--- a/tests/node/CoreCopiesTest.cpp
+++ b/tests/node/CoreCopiesTest.cpp
@@ -6,13 +6,17 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    enum class KeeperFate : std::uint8_t { Lives, DiesBefore, DiesWithIt, Pauses };
+    enum class ReplicaFate : std::uint8_t { Runs, CrashesBefore, CrashesWithDomain, IsPaused };
 
-    /** Gives loseDomainAt() a fleet of its own each time. */
-    class LostDomain : public CoreTest {
+    /** One crash of a failure domain, in a fleet of its own. */
+    class DomainLossRun : public CoreTest {
     public:
-        /** @return 1 when the answer was given and its bill had not landed as the domain was killed. */
-        int play(Duration killAfter, KeeperFate fate)
+        /**
+         * Crashes the first domain `killAfter` into an outage of the log that begins 15 ms after a request was sent,
+         * and checks that the request is billed if it was answered.
+         * @return 1 when the request was answered and its bill had not landed when the domain crashed; else 0.
+         */
+        int countUnlandedAnswer(Duration killAfter, ReplicaFate fate)
         {
             SetUp();
             expectAnswered(fleet.send(0, {}));
@@ -22,37 +26,39 @@
             const CallId call = fleet.send(0, last);
             fleet.run(milliseconds(15));
             fleet.log.outage = true;
-            if (fate == KeeperFate::DiesBefore) {
-                fleet.crash(keeperOf(0));
-            } else if (fate == KeeperFate::Pauses) {
-                fleet.freeze(keeperOf(0));
+            if (fate == ReplicaFate::CrashesBefore) {
+                fleet.crash(firstReplicaOf(0));
+            } else if (fate == ReplicaFate::IsPaused) {
+                fleet.pause(firstReplicaOf(0));
             }
             fleet.run(killAfter);
-            const bool told = fleet.replyOf(call).has_value();
+            const bool answered = fleet.replyOf(call).has_value();
             const bool landed = billedInLedger() == Tokens { 60 };
-            if (fate == KeeperFate::DiesWithIt) {
-                fleet.crash(keeperOf(0));
+            if (fate == ReplicaFate::CrashesWithDomain) {
+                fleet.crash(firstReplicaOf(0));
             }
             fleet.crash(0);
             fleet.crash(1);
             fleet.log.outage = false;
             fleet.run(seconds(10));
-            if (told) {
+            if (answered) {
                 EXPECT_EQ(billedInLedger(), Tokens { 60 })
                     << toMilliseconds(killAfter) << " ms, fate " << static_cast<int>(fate);
             }
-            return told && !landed ? 1 : 0;
+            return answered && !landed ? 1 : 0;
         }
 
     private:
         void TestBody() override { }
     };
 
-    int loseDomainAt(Duration killAfter, KeeperFate fate) { return LostDomain {}.play(killAfter, fate); }
+    int loseDomainAt(Duration killAfter, ReplicaFate fate)
+    {
+        return DomainLossRun {}.countUnlandedAnswer(killAfter, fate);
+    }
 
-    // Symptom: a request is answered and never billed.
-    // Events: the log is out; a router answers from what it holds and dies before the log is back.
-    // Cause: the bill was in that process alone.
+    // Guards against an answer that is never billed: a router answers during an outage of the log and dies before the
+    // outage ends, and no other process has the bill.
     TEST_F(CoreTest, BillOutlivesTheRouterThatAnswered)
     {
         expectAnswered(fleet.send(0, {}));
@@ -68,21 +74,20 @@
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 60 }; })) << billedInLedger();
     }
 
-    // Symptom: a request is answered and never billed.
-    // Events: holder and witness, the only VMs of a failure domain, are killed together milliseconds after an answer;
-    // the append that has its bill fails.
-    // Cause: the bill had landed nowhere yet, and its only copy was at the witness: both went with the domain.
+    // Guards against an answer that is never billed: holder and witness, the only VMs of a failure domain, crash
+    // together milliseconds after the answer, and the append of its bill fails. The only copy of the bill was at the
+    // witness.
     TEST_F(CoreTest, BillOutlivesTheFailureDomainThatAnswered)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        EXPECT_EQ(billedAfterLossOf({ 0, 1 }), Tokens { 60 });
+        EXPECT_EQ(billedAfterCrashInOutage({ 0, 1 }), Tokens { 60 });
     }
 
-    // Symptom: callers of a failure domain that is cut off wait for the ends of their answers.
-    // Events: the domain is cut off from the other one and from the log; its two VMs hear each other.
-    // Cause: each bill is waited for until a keeper beyond the cut has it.
-    TEST_F(CoreTest, AnswersOfACutDomainWaitForNoDistantKeeper)
+    // Guards against late ends of answers in a failure domain that is partitioned from the log and from the other
+    // domain: each answer would wait until a remote replica has its bill, although only the domain's own VMs are
+    // reachable.
+    TEST_F(CoreTest, AnswersOfAPartitionedDomainWaitForNoRemoteReplica)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
@@ -92,90 +97,89 @@
             during.id = "during" + std::to_string(request);
             const Instant sent = fleet.now();
             expectAnswered(fleet.send(0, during));
-            const Duration most = request == 0 ? milliseconds(250) : milliseconds(100);
-            EXPECT_LE(fleet.now() - sent, most) << "only the first waits until the keeper counts as out of touch";
+            const Duration maxDelay = request == 0 ? milliseconds(250) : milliseconds(100);
+            EXPECT_LE(fleet.now() - sent, maxDelay) << "only the first waits until the replica counts as unresponsive";
         }
-        EXPECT_FALSE(fleet.linesOf(0, "copies").empty()) << "the log says that bills are less safe";
+        EXPECT_FALSE(fleet.linesOf(0, "copies").empty()) << "a log line reports that no remote replica responds";
     }
 
-    // Symptom: after a partition between failure domains, the loss of one takes bills with it again.
-    // Events: a keeper suspects an author beyond the partition; it heals; the author's whole domain dies while the log
-    // is out.
-    // Cause: a keeper took no more copies of an author that it had once suspected.
-    TEST_F(CoreTest, KeeperThatSuspectedWronglyKeepsCopiesAgain)
+    // Guards against bills that are lost with a failure domain after a partition: a remote replica suspected an author
+    // during the partition and accepted no more copies from it after the partition had healed. Then the author's whole
+    // domain crashes during an outage of the log.
+    TEST_F(CoreTest, ReplicaAcceptsCopiesAgainAfterAWrongSuspicion)
     {
         expectAnswered(fleet.send(0, {}));
-        cutDomain();
+        partitionDomain();
         fleet.run(seconds(20));
         fleet.heal();
         fleet.run(seconds(5));
-        EXPECT_EQ(billedAfterLossOf({ 0, 1 }), Tokens { 60 });
+        EXPECT_EQ(billedAfterCrashInOutage({ 0, 1 }), Tokens { 60 });
     }
 
-    // Symptom: a VM that is alone in its failure domain answers late, and of bills that die with it.
-    // Events: the only VM of a domain answers and dies, while the log is out.
-    // Cause: without a peer in the domain nobody kept copies.
-    TEST_F(CoreTest, BillOfAVmAloneInItsDomainOutlivesIt)
+    // Guards against late answers, and bills that are lost, of a VM that is the only one of its failure domain: it
+    // crashes during an outage of the log, and without a peer in the domain no copies of its bills were made.
+    TEST_F(CoreTest, BillOfTheOnlyVmOfADomainOutlivesIt)
     {
-        const std::size_t alone = fleet.addVm("c");
+        const std::size_t onlyVm = fleet.addVm("c");
         fleet.run(seconds(5));
-        expectAnswered(fleet.send(alone, {}));
+        expectAnswered(fleet.send(onlyVm, {}));
         fleet.run(seconds(2));
-        EXPECT_EQ(billedAfterLossOf({ alone }), Tokens { 60 });
+        EXPECT_EQ(billedAfterCrashInOutage({ onlyVm }), Tokens { 60 });
     }
 
-    // An answer that nobody is billed for: its domain dies soon after the keeper of its bills, which nobody suspects
-    // yet.
-    class KeeperLostBefore : public CoreTest, public ::testing::WithParamInterface<int> { };
+    // Guards against unbilled answers: the answering domain crashes soon after the replica of its bills, which no
+    // router suspects yet.
+    class ReplicaLostBefore : public CoreTest, public ::testing::WithParamInterface<int> { };
 
-    TEST_P(KeeperLostBefore, BillIsKeptByTheSecondKeeper)
+    TEST_P(ReplicaLostBefore, SecondReplicaHasTheBill)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        fleet.crash(keeperOf(0));
+        fleet.crash(firstReplicaOf(0));
         fleet.run(milliseconds(GetParam()));
-        EXPECT_EQ(billedAfterLossOf({ 0, 1 }), Tokens { 60 });
+        EXPECT_EQ(billedAfterCrashInOutage({ 0, 1 }), Tokens { 60 });
     }
 
-    // An answer that nobody is billed for: the keeper of its bills does not run for a moment as its domain dies.
-    TEST_P(KeeperLostBefore, BillIsKeptByTheSecondOfAPausedKeeper)
+    // Guards against an unbilled answer: the replica of its bill is paused while the answering domain crashes.
+    TEST_P(ReplicaLostBefore, SecondReplicaHasTheBillWhileTheFirstIsPaused)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        fleet.freeze(keeperOf(0));
+        fleet.pause(firstReplicaOf(0));
         fleet.run(milliseconds(GetParam()));
-        EXPECT_EQ(billedAfterLossOf({ 0, 1 }), Tokens { 60 });
+        EXPECT_EQ(billedAfterCrashInOutage({ 0, 1 }), Tokens { 60 });
     }
 
-    // An answer that nobody is billed for: its domain is cut off from the others, but not from the log, and dies.
-    TEST_P(KeeperLostBefore, BillIsInTheLogWhereNoKeeperAnswers)
+    // Guards against an unbilled answer: the answering domain is partitioned from the others, but not from the log, and
+    // crashes.
+    TEST_P(ReplicaLostBefore, BillIsInTheLogWhenNoReplicaResponds)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        cutDomain();
+        partitionDomain();
         fleet.run(milliseconds(GetParam()));
         TestRequest before;
         before.id = "before";
         (void)fleet.send(0, before);
         fleet.run(milliseconds(3));
-        EXPECT_EQ(billedAfterKillOf({ 0, 1 }), Tokens { 90 });
+        EXPECT_EQ(billedAfterCrash({ 0, 1 }), Tokens { 90 });
     }
 
-    INSTANTIATE_TEST_SUITE_P(Milliseconds, KeeperLostBefore, ::testing::Values(0, 20, 90, 110, 300, 1000, 2900, 8000));
+    INSTANTIATE_TEST_SUITE_P(Milliseconds, ReplicaLostBefore, ::testing::Values(0, 20, 90, 110, 300, 1000, 2900, 8000));
 
-    // An answer that nobody is billed for: its domain is killed, and the keeper of the bill a moment later.
-    TEST_F(CoreTest, BillOfALostDomainOutlivesItsKeeperSoon)
+    // Guards against an unbilled answer: the answering domain crashes, and 2 s later the replica of the bill.
+    TEST_F(CoreTest, BillIsAppendedBeforeTheReplicaCrashesToo)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        const std::size_t keeper = keeperOf(0);
-        loseWithBillInFlight({ 0, 1 });
+        const std::size_t replica = firstReplicaOf(0);
+        answerAndCrashInOutage({ 0, 1 });
         fleet.run(seconds(2));
-        fleet.crash(keeper);
+        fleet.crash(replica);
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 60 }; }, seconds(20)));
     }
 
-    // An answer that nobody is billed for: its domain and the one of its bill's keeper are killed together.
+    // Guards against an unbilled answer: the answering domain and the domain of the bill's replica crash together.
     TEST_F(CoreTest, BillOutlivesTwoOfThreeFailureDomains)
     {
         for (const char* domain : { "c", "c" }) {
@@ -184,35 +188,36 @@
         fleet.run(seconds(5));
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        const std::size_t keeper = keeperOf(0);
-        const std::size_t beside = keeper % 2 == 0 ? keeper + 1 : keeper - 1;
-        EXPECT_EQ(billedAfterLossOf({ 0, 1, keeper, beside }), Tokens { 60 });
+        const std::size_t replica = firstReplicaOf(0);
+        const std::size_t neighbour = replica % 2 == 0 ? replica + 1 : replica - 1;
+        EXPECT_EQ(billedAfterCrashInOutage({ 0, 1, replica, neighbour }), Tokens { 60 });
     }
 
-    // An answer that nobody is billed for: its domain is killed as the keeper of the bill stops as planned.
-    TEST_F(CoreTest, KeeperThatStopsLeavesNoBillBehind)
+    // Guards against an unbilled answer: the answering domain crashes while the replica of the bill is in a planned
+    // stop.
+    TEST_F(CoreTest, StoppingReplicaAppendsItsCopies)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(2));
-        const std::size_t keeper = keeperOf(0);
-        loseWithBillInFlight({ 0, 1 });
-        fleet.stop(keeper);
-        EXPECT_TRUE(fleet.runUntil([&] { return fleet.ended(keeper); }, seconds(20)));
+        const std::size_t replica = firstReplicaOf(0);
+        answerAndCrashInOutage({ 0, 1 });
+        fleet.stop(replica);
+        EXPECT_TRUE(fleet.runUntil([&] { return fleet.ended(replica); }, seconds(20)));
         EXPECT_EQ(billedInLedger(), Tokens { 60 });
     }
 
-    // An answer that nobody is billed for, at any millisecond of a request at which its domain dies, with a keeper that
-    // lives, dies just before or with it, or does not run.
-    TEST(DomainLost, AtNoMillisecondIsAnAnswerUnbilled)
+    // Guards against unbilled answers: the domain crashes at any moment of a request, while the replica of its bills
+    // runs, has crashed just before, crashes at the same moment, or is paused.
+    TEST(DomainLost, EveryAnswerIsBilledWheneverTheDomainCrashes)
     {
         int inFlight = 0;
         for (int killAfter = 0; killAfter < 300; killAfter += 2) {
-            for (const KeeperFate fate :
-                { KeeperFate::Lives, KeeperFate::DiesBefore, KeeperFate::DiesWithIt, KeeperFate::Pauses }) {
+            for (const ReplicaFate fate : { ReplicaFate::Runs, ReplicaFate::CrashesBefore,
+                     ReplicaFate::CrashesWithDomain, ReplicaFate::IsPaused }) {
                 inFlight += loseDomainAt(milliseconds(killAfter), fate);
             }
         }
-        EXPECT_GT(inFlight, 0) << "no bill was in flight at any of these moments";
+        EXPECT_GT(inFlight, 0) << "no answer was given before its bill had landed";
     }
 
 } // namespace
--- a/tests/node/CoreFixture.h
+++ b/tests/node/CoreFixture.h
@@ -13,7 +13,7 @@
 
 namespace swiftlift::node::testing {
 
-/** Two failure domains with two VMs each, one client account with a budget, one service. */
+/** Two failure domains with two VMs each, a client account with a budget, and a service that it may use. */
 class CoreTest : public ::testing::Test {
 protected:
     void SetUp() override
@@ -27,6 +27,7 @@
         fleet.run(std::chrono::seconds(3));
     }
 
+    /** @return Tokens billed to the account according to the log. */
     [[nodiscard]] Tokens billedInLedger() const
     {
         const BudgetRef ref { AccountId { "club" }, BudgetId { "main" } };
@@ -40,8 +41,8 @@
         EXPECT_EQ(reply->outcome, Outcome::Answered) << reply->reason << ": " << reply->detail;
     }
 
-    /** Cuts the first domain off from the other one. */
-    void cutDomain()
+    /** Partitions the first domain from the other one. */
+    void partitionDomain()
     {
         for (const std::size_t here : { 0U, 1U }) {
             fleet.cut(here, 2);
@@ -49,52 +50,51 @@
         }
     }
 
-    /** Cuts the first domain off from the log as well. */
+    /** Partitions the first domain from the other one and from the log. */
     void isolateDomain()
     {
-        cutDomain();
+        partitionDomain();
         fleet.cutFromLog(0);
         fleet.cutFromLog(1);
     }
 
-    /** @return The VMs that the author names as keepers of its copies beyond the failure domain, the first one first.
-     */
+    /** @return The author's responsive remote replicas according to its log lines, the first replica first. */
     [[nodiscard]] std::vector<std::size_t> replicasOf(std::size_t author) const
     {
         const auto lines = fleet.linesOf(author, "copies");
         std::istringstream named(lines.empty() ? "" : textOf(lines.back(), "keepers"));
-        std::vector<std::size_t> keepers;
+        std::vector<std::size_t> replicas;
         for (std::string incarnation; named >> incarnation;) {
             for (std::size_t vm = 0; vm < fleet.size(); ++vm) {
                 if (incarnation == toHex(fleet.incarnationOf(vm).value())) {
-                    keepers.push_back(vm);
+                    replicas.push_back(vm);
                 }
             }
         }
-        return keepers;
+        return replicas;
     }
 
-    [[nodiscard]] std::size_t keeperOf(std::size_t author) const { return replicasOf(author).at(0); }
+    /** @return The author's first remote replica. */
+    [[nodiscard]] std::size_t firstReplicaOf(std::size_t author) const { return replicasOf(author).at(0); }
 
-    /** Lets the first of these VMs answer while the log is out, and kills all as soon as the caller has its answer.
-     */
-    [[nodiscard]] Tokens billedAfterLossOf(const std::vector<std::size_t>& vms)
+    /** Calls answerAndCrashInOutage() and runs for 30 s. @return Tokens billed in the log then. */
+    [[nodiscard]] Tokens billedAfterCrashInOutage(const std::vector<std::size_t>& vms)
     {
-        loseWithBillInFlight(vms);
+        answerAndCrashInOutage(vms);
         fleet.run(std::chrono::seconds(30));
         return billedInLedger();
     }
 
-    /** The same, up to the moment at which the log is back. */
-    void loseWithBillInFlight(const std::vector<std::size_t>& vms)
+    /** Calls answerAndCrash() during an outage of the log, and ends the outage. */
+    void answerAndCrashInOutage(const std::vector<std::size_t>& vms)
     {
         fleet.log.outage = true;
-        answerAndKill(vms);
+        answerAndCrash(vms);
         fleet.log.outage = false;
     }
 
-    /** Lets the first of these VMs answer, and kills all as soon as the caller has its answer. */
-    void answerAndKill(const std::vector<std::size_t>& vms)
+    /** Sends a request to the first of these VMs, and crashes all of them as soon as the caller has its answer. */
+    void answerAndCrash(const std::vector<std::size_t>& vms)
     {
         TestRequest last;
         last.id = "last";
@@ -107,14 +107,15 @@
         }
     }
 
-    /** @return What is billed half a minute after the VMs were killed as the first of them had answered. */
-    [[nodiscard]] Tokens billedAfterKillOf(const std::vector<std::size_t>& vms)
+    /** Calls answerAndCrash() and runs for 30 s. @return Tokens billed in the log then. */
+    [[nodiscard]] Tokens billedAfterCrash(const std::vector<std::size_t>& vms)
     {
-        answerAndKill(vms);
+        answerAndCrash(vms);
         fleet.run(std::chrono::seconds(30));
         return billedInLedger();
     }
 
+    /** @return Value of the line's text field; empty when there is none. */
     [[nodiscard]] static std::string textOf(const LogLine& line, const std::string& name)
     {
         const auto field
--- a/tests/node/CorePropertyTest.cpp
+++ b/tests/node/CorePropertyTest.cpp
@@ -25,7 +25,7 @@
         out << '{' << step.kind << ',' << step.vm << ',' << step.other << ',' << step.amount << '}';
     }
 
-    /** Drives a fleet through a random run, and keeps what the checks need. */
+    /** Drives a fleet through a random run, and records the calls and purchases for the checks. */
     class RandomRun {
     public:
         RandomRun()
@@ -65,27 +65,27 @@
                 fleet.replace(vm);
                 break;
             case 8:
-                fleet.freeze(vm);
+                fleet.pause(vm);
                 break;
             case 9:
-                fleet.thaw(vm);
+                fleet.resume(vm);
                 break;
             case 10:
                 fleet.log.outage = !fleet.log.outage;
                 break;
             case 11:
-                fleet.log.loseAnswers += step.amount % 4;
+                fleet.log.answersToLose += step.amount % 4;
                 break;
             case 12:
-                fleet.log.lateAppends += step.amount % 3;
-                fleet.log.lateBy = seconds(step.amount % 12);
+                fleet.log.appendsToDelay += step.amount % 3;
+                fleet.log.appendDelay = seconds(step.amount % 12);
                 break;
             case 13:
                 bought += step.amount;
                 fleet.topUp("club", step.amount);
                 break;
             case 14:
-                fleet.engines.breakNext += step.amount % 3;
+                fleet.engines.attemptsToBreak += step.amount % 3;
                 break;
             default:
                 fleet.run(milliseconds(step.amount * 40));
@@ -94,12 +94,13 @@
             fleet.run(milliseconds(step.amount));
         }
 
-        void settle()
+        /** Ends all faults and runs until the bills have landed. */
+        void recover()
         {
             fleet.heal();
             fleet.log.outage = false;
             for (std::size_t vm = 0; vm < vmCount; ++vm) {
-                fleet.thaw(vm);
+                fleet.resume(vm);
             }
             fleet.run(seconds(60));
         }
@@ -140,19 +141,17 @@
     rc::Gen<Step> steps()
     {
         constexpr int kinds = 18;
-        constexpr int mostAmount = 100;
+        constexpr int maxAmount = 100;
         return rc::gen::build<Step>(rc::gen::set(&Step::kind, rc::gen::inRange(0, kinds)),
             rc::gen::set(&Step::vm, rc::gen::inRange(0, static_cast<int>(vmCount))),
             rc::gen::set(&Step::other, rc::gen::inRange(0, static_cast<int>(vmCount))),
-            rc::gen::set(&Step::amount, rc::gen::inRange(1, mostAmount)));
+            rc::gen::set(&Step::amount, rc::gen::inRange(1, maxAmount)));
     }
 
-    // Symptom: any of: a budget overspent, a request billed twice or never, a non-idempotent one run twice, "not run"
-    // said of one that ran.
-    // Events: any order of requests, retries at other routers, cuts, outages, lost and late append answers, pauses,
-    // replaced VMs and top-ups.
-    // Cause: whatever the shrunk run shows.
-    RC_GTEST_PROP(CoreProperty, PromisesHoldInAnyRun, ())
+    // Guards against overspent budgets, requests that are billed twice or never, non-idempotent requests that run
+    // twice, and requests reported as "not run" that have run. A run is any sequence of requests, retries at other
+    // routers, partitions, outages, lost and late append answers, pauses, replaced VMs and top-ups.
+    RC_GTEST_PROP(CoreProperty, InvariantsHoldInAnyRun, ())
     {
         const auto run = *rc::gen::container<std::vector<Step>>(steps());
         RandomRun fleet;
@@ -160,7 +159,7 @@
             fleet.apply(step);
             RC_ASSERT(fleet.fleet.billedByAnswers("club") <= fleet.bought);
         }
-        fleet.settle();
+        fleet.recover();
         const auto view = fleet.ledgerView();
         RC_ASSERT(view.held <= view.bought);
         RC_ASSERT(view.billed.value() <= fleet.bought);
--- a/tests/node/CoreTest.cpp
+++ b/tests/node/CoreTest.cpp
@@ -14,10 +14,10 @@
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 30 }; }));
     }
 
-    // Symptom: requests are refused "no_backend" while engines of other failure domains have room.
-    // Events: all engines of the own failure domain say that they are full.
-    // Cause: each of them used up one of the request's few attempts, though none had started it.
-    TEST(CoreRouting, EnginesThatAreFullUseUpNoAttempts)
+    // Guards against requests refused with "no_backend" while engines of other failure domains have free capacity: each
+    // engine of the router's own failure domain that was full used up one of the request's few attempts, although none
+    // had started the request.
+    TEST(CoreRouting, FullEnginesUseUpNoAttempts)
     {
         FakeFleet fleet;
         fleet.addVm("a");
@@ -26,9 +26,9 @@
         std::string document = plansDocument();
         for (const char* address : { "127.0.11.2:9001", "127.0.11.3:9001", "127.0.11.4:9001" }) {
             document += std::string("  - address: ") + address + "\n    domain: a\n";
-            fleet.engines.full.insert(BackendId { address });
+            fleet.engines.fullEngines.insert(BackendId { address });
         }
-        fleet.engines.full.insert(BackendId { "127.0.11.1:9001" });
+        fleet.engines.fullEngines.insert(BackendId { "127.0.11.1:9001" });
         fleet.publish(document);
         fleet.run(seconds(3));
         const auto reply = fleet.await(fleet.send(0, {}));
@@ -38,25 +38,26 @@
 
     TEST_F(CoreTest, RefusesAnUnknownKeyAndService)
     {
-        TestRequest strange;
-        strange.account = "nobody";
-        EXPECT_EQ(fleet.await(fleet.send(0, strange))->reason, "bad_key");
-        TestRequest lost;
-        lost.service = "nothing";
-        EXPECT_EQ(fleet.await(fleet.send(0, lost))->reason, "unknown_service");
+        TestRequest unknownAccount;
+        unknownAccount.account = "nobody";
+        EXPECT_EQ(fleet.await(fleet.send(0, unknownAccount))->reason, "bad_key");
+        TestRequest unknownService;
+        unknownService.service = "nothing";
+        EXPECT_EQ(fleet.await(fleet.send(0, unknownService))->reason, "unknown_service");
     }
 
-    TEST_F(CoreTest, TellsACallerTheStateOfItsOwnRequestOnly)
+    TEST_F(CoreTest, ReportsARequestsStateOnlyToItsOwnAccount)
     {
         expectAnswered(fleet.send(0, {}));
         const RequestKey key = FakeFleet::keyOf("club", "r1");
         char digits[33] = {};
         (void)std::snprintf(digits, sizeof digits, "%016lx%016lx", key.high, key.low);
-        const std::string mine = "club/r1/key-of-club/" + std::string(digits);
-        EXPECT_NE(fleet.asked(0, "request", mine).find("\"state\":\"answered\""), std::string::npos);
-        EXPECT_NE(fleet.asked(1, "request", mine).find("\"state\":\"unknown_here\""), std::string::npos);
-        const std::string strange = "club/r1/another/" + std::string(digits);
-        EXPECT_NE(fleet.asked(0, "request", strange).find("bad_key"), std::string::npos);
+        const std::string ownRequest = "club/r1/key-of-club/" + std::string(digits);
+        EXPECT_NE(fleet.queryOperatorView(0, "request", ownRequest).find("\"state\":\"answered\""), std::string::npos);
+        EXPECT_NE(
+            fleet.queryOperatorView(1, "request", ownRequest).find("\"state\":\"unknown_here\""), std::string::npos);
+        const std::string wrongKey = "club/r1/another/" + std::string(digits);
+        EXPECT_NE(fleet.queryOperatorView(0, "request", wrongKey).find("bad_key"), std::string::npos);
     }
 
     TEST_F(CoreTest, SpendsTheWholeBudgetAndNotMore)
@@ -75,16 +76,14 @@
 
     TEST_F(CoreTest, BrokenIdempotentRequestRunsElsewhereAndIsBilledOnce)
     {
-        fleet.engines.breakNext = 1;
+        fleet.engines.attemptsToBreak = 1;
         expectAnswered(fleet.send(0, {}));
         EXPECT_EQ(fleet.runsOf("club", "r1"), 2);
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 30 }; }));
     }
 
-    // Symptom: a client account is billed twice for one request.
-    // Events: a router dies after the answer has gone out but before the bill has landed; or the caller's connection
-    // breaks, and its retry is run and billed by a router of another failure domain.
-    // Cause: nobody compares the bills of two routers.
+    // Guards against two bills for one request: a router dies after the answer was sent and before the bill has landed,
+    // or the caller's connection breaks, and a router of another failure domain runs and bills the retry.
     TEST_F(CoreTest, RetryElsewhereIsBilledOnce)
     {
         expectAnswered(fleet.send(0, {}));
@@ -95,13 +94,12 @@
         EXPECT_EQ(billedInLedger(), Tokens { 30 });
     }
 
-    // Symptom: an order is placed twice.
-    // Events: the backend server runs a non-idempotent request and the connection breaks; the caller asks again at
-    // another router.
-    // Cause: the second router can't see that the first one has dispatched it.
+    // Guards against a non-idempotent request, such as an order, that runs twice: the connection breaks after the
+    // backend server has run the request, and the caller retries at another router, which does not know of the first
+    // dispatch.
     TEST_F(CoreTest, NonIdempotentRequestRunsOnce)
     {
-        fleet.engines.breakNext = 1;
+        fleet.engines.attemptsToBreak = 1;
         TestRequest order;
         order.idempotent = false;
         EXPECT_EQ(fleet.await(fleet.send(0, order))->outcome, Outcome::Unknown);
@@ -112,17 +110,17 @@
         EXPECT_EQ(fleet.runsOf("club", "r1"), 1);
     }
 
-    // Symptom: an order that was called "not run" is placed.
-    // Events: the claim's append answers late, the router gives up and says so, and the claim lands afterwards.
-    // Cause: see RequestTable: a claim that is given up has to be voided.
-    TEST_F(CoreTest, ClaimThatLandsAfterGivingUpIsNeverUsed)
+    // Guards against a request that runs after it was answered with "not run": the append of its claim is late, the
+    // router refuses the request, and the claim lands afterwards. An abandoned claim has to be voided, see
+    // RequestTable.
+    TEST_F(CoreTest, ClaimThatLandsAfterTheRefusalIsNeverUsed)
     {
         expectAnswered(fleet.send(0, {}));
         TestRequest order;
         order.id = "order";
         order.idempotent = false;
-        fleet.log.lateAppends = 20;
-        fleet.log.lateBy = seconds(8);
+        fleet.log.appendsToDelay = 20;
+        fleet.log.appendDelay = seconds(8);
         const auto reply = fleet.await(fleet.send(0, order));
         ASSERT_TRUE(reply.has_value());
         EXPECT_EQ(reply->outcome, Outcome::NotRun) << reply->reason;
@@ -132,11 +130,10 @@
         EXPECT_EQ(fleet.await(fleet.send(2, order))->reason, "voided");
     }
 
-    // Symptom: a client account spends over its budget while its failure domain is cut off.
-    // Events: one domain is cut from the log and from the other domain; a top-up lands that it can't see; both sides
-    // go on spending until nothing is left to them.
-    // Cause: the two sides count from the same balance.
-    TEST_F(CoreTest, CutDomainServesFromWhatItHoldsAndNeverOverspends)
+    // Guards against an overspent budget during a partition: one domain is partitioned from the log and from the other
+    // domain, a top-up lands that the first domain can't read, and both domains spend tokens of the same budget until
+    // they have none left.
+    TEST_F(CoreTest, PartitionedDomainServesFromItsGrantsAndNeverOverspends)
     {
         for (std::size_t vm = 0; vm < 4; ++vm) {
             TestRequest warm;
@@ -155,15 +152,14 @@
             ASSERT_TRUE(reply.has_value());
             answeredCut += vm < 2 && reply->outcome == Outcome::Answered ? 1 : 0;
         }
-        EXPECT_GT(answeredCut, 0) << "a cut domain goes on serving what it can";
+        EXPECT_GT(answeredCut, 0) << "a partitioned domain serves requests from its grants";
         EXPECT_LE(fleet.billedByAnswers("club"), budget + 300);
         fleet.heal();
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger().value() == fleet.billedByAnswers("club"); }));
     }
 
-    // Symptom: a client account is refused although its money is not spent.
-    // Events: a VM holds a grant and dies.
-    // Cause: nobody can tell how much of the grant it has spent, so all of it counts as spent.
+    // Guards against requests refused while the budget has unspent tokens: a VM that holds a grant dies, and without a
+    // witness the whole grant would have to count as spent.
     TEST_F(CoreTest, WitnessSealsTheGrantOfADeadVm)
     {
         expectAnswered(fleet.send(0, {}));
@@ -175,70 +171,66 @@
             << fleet.auditedLedger().budget(ref)->available();
     }
 
-    // Symptom: money is spent twice after a pause.
-    // Events: a VM is paused longer than its peers wait; its grant is sealed and the rest drawn by others; it wakes up
-    // and goes on.
-    // Cause: it still counts on the whole grant.
-    TEST_F(CoreTest, PausedVmSpendsNothingThatWasFreedMeanwhile)
+    // Guards against tokens spent twice: a VM is paused for longer than its peers wait, its grant is sealed, other VMs
+    // draw the rest, and the VM resumes and would spend from the whole grant.
+    TEST_F(CoreTest, PausedVmSpendsNoTokensThatWereFreedMeanwhile)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(1));
-        fleet.freeze(0);
+        fleet.pause(0);
         fleet.run(seconds(20));
         for (int number = 0; number < 40; ++number) {
             TestRequest request;
             request.id = "o" + std::to_string(number);
             (void)fleet.await(fleet.send(1 + static_cast<std::size_t>(number) % 3, request));
         }
-        fleet.thaw(0);
+        fleet.resume(0);
         for (int number = 0; number < 20; ++number) {
             TestRequest request;
             request.id = "w" + std::to_string(number);
             (void)fleet.await(fleet.send(0, request));
         }
         EXPECT_LE(fleet.billedByAnswers("club"), budget);
-        EXPECT_TRUE(fleet.runUntil([&] { return fleet.restarted(0); })) << "it goes on under a new incarnation";
+        EXPECT_TRUE(fleet.runUntil([&] { return fleet.restarted(0); })) << "the VM restarts under a new incarnation";
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger().value() == fleet.billedByAnswers("club"); }));
     }
 
-    // Symptom: a caller is told "not run" of a request that has run.
-    // Events: a request waits in the buffers of a paused router; its caller asks elsewhere and is answered; the router
-    // wakes up, finds itself retired and refuses the request.
-    // Cause: it takes the first attempt, which it has only now seen, for the only one.
-    TEST_F(CoreTest, PausedRouterVouchesForNothingThatWaited)
+    // Guards against the answer "not run" to a request that has run: the request waits in the buffers of a paused
+    // router while the caller's retry is answered by another router. The first router resumes, is retired and refuses
+    // the request, which may not be the only attempt.
+    TEST_F(CoreTest, PausedRouterReportsNoWaitingRequestAsNotRun)
     {
         expectAnswered(fleet.send(0, {}));
-        fleet.freeze(0);
+        fleet.pause(0);
         TestRequest waiting;
         waiting.id = "waiting";
         const CallId first = fleet.send(0, waiting);
         fleet.run(seconds(5));
         waiting.attempt = 2;
         expectAnswered(fleet.send(2, waiting));
-        fleet.thaw(0);
+        fleet.resume(0);
         const auto reply = fleet.await(first);
         ASSERT_TRUE(reply.has_value());
         EXPECT_NE(reply->outcome, Outcome::NotRun) << reply->reason;
     }
 
-    // Symptom: a client account overspends after a pause.
-    // Events: a VM is paused with a request in progress; its witness seals its grant and, later, closes it; the rest is
-    // sold again; the VM wakes up and has the whole answer.
-    // Cause: it tells its caller of a bill that the ledger can't take any more.
+    // Guards against an overspent budget after a pause: a VM is paused with a request in progress, its witness seals
+    // and later closes its grant, and other VMs draw the rest. The VM resumes with a complete answer, whose bill the
+    // ledger refuses.
     TEST_F(CoreTest, AnswerWhoseGrantWasClosedMeanwhileIsUnknown)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(1));
-        fleet.engines.takes = seconds(2);
+        fleet.engines.answerDelay = seconds(2);
         TestRequest slow;
         slow.id = "slow";
         const CallId call = fleet.send(0, slow);
         fleet.run(seconds(1));
-        fleet.freeze(0);
+        fleet.pause(0);
         const BudgetRef ref { AccountId { "club" }, BudgetId { "main" } };
         EXPECT_TRUE(fleet.runUntil([&] { return fleet.auditedLedger().budget(ref)->available() >= Tokens { 970 }; }))
-            << "all but the first bill is free again";
-        fleet.thaw(0);
+            << "all tokens but those of the first bill are available again";
+        fleet.resume(0);
         const auto reply = fleet.await(call);
         ASSERT_TRUE(reply.has_value());
         EXPECT_EQ(reply->outcome, Outcome::Unknown);
@@ -246,10 +238,9 @@
         EXPECT_EQ(billedInLedger(), Tokens { 30 });
     }
 
-    // Symptom: money of a dead VM stays out of reach.
-    // Events: a VM dies and is never replaced.
-    // Cause: only the dead holder could close its grants.
-    TEST_F(CoreTest, AllMoneyOfADeadVmComesBack)
+    // Guards against unspent tokens of a dead VM that stay unavailable: the VM is never replaced, and only the dead
+    // holder could close its grants.
+    TEST_F(CoreTest, AllUnspentTokensOfADeadVmBecomeAvailable)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(1));
@@ -258,12 +249,11 @@
         EXPECT_TRUE(fleet.runUntil([&] { return fleet.auditedLedger().budget(ref)->available() == Tokens { 970 }; }));
     }
 
-    // Symptom: a request is billed twice, or a grant is drawn twice.
-    // Events: the log takes an append and its answer is lost; the router makes the append again.
-    // Cause: the repeat counts as another append.
+    // Guards against a request billed twice, or a grant drawn twice: an append takes effect, its answer is lost, and
+    // the router's retry counts as another append.
     TEST_F(CoreTest, LostAppendAnswersChangeNothing)
     {
-        fleet.log.loseAnswers = 30;
+        fleet.log.answersToLose = 30;
         for (int number = 0; number < 10; ++number) {
             TestRequest request;
             request.id = "l" + std::to_string(number);
@@ -274,7 +264,7 @@
         EXPECT_EQ(billedInLedger(), Tokens { 300 });
     }
 
-    TEST_F(CoreTest, PlatformOutageIsServedFromHoldings)
+    TEST_F(CoreTest, RequestsAreServedFromHeldGrantsDuringALogOutage)
     {
         expectAnswered(fleet.send(0, {}));
         fleet.run(seconds(1));
@@ -287,9 +277,7 @@
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 60 }; }));
     }
 
-    // Symptom: a domain that is cut from the platform alone refuses, though its peers reach the platform.
-    // Events: one VM loses the log, its peers don't.
-    // Cause: it speaks to the log only by itself.
+    // Guards against a VM that refuses requests because it can't reach the log, although its peers do and could relay.
     TEST_F(CoreTest, PeersRelayTheLog)
     {
         fleet.cutFromLog(0);
@@ -298,9 +286,9 @@
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 30 }; }));
     }
 
-    TEST_F(CoreTest, PlannedStopEndsWhatIsInProgressAndGivesMoneyBack)
+    TEST_F(CoreTest, PlannedStopFinishesRequestsAndReturnsTokens)
     {
-        fleet.engines.takes = seconds(3);
+        fleet.engines.answerDelay = seconds(3);
         const CallId running = fleet.send(0, {});
         fleet.run(milliseconds(500));
         fleet.stop(0);
@@ -320,9 +308,9 @@
         expectAnswered(fleet.send(3, {}));
     }
 
-    // Symptom: a VM that is replaced while its failure domain is cut off serves nothing until the cut is healed.
-    // Events: the domain loses the log and the other domain; one of its VMs is replaced.
-    // Cause: the fresh router asked only peers that reach the log, though its neighbour holds all it needs.
+    // Guards against a VM that, replaced while its failure domain is partitioned from the log and from the other
+    // domain, serves nothing until the partition heals: the new router requested records only from peers that reach the
+    // log, although its neighbour had all of them.
     TEST_F(CoreTest, FreshVmInACutDomainStartsFromItsNeighbour)
     {
         for (std::size_t vm = 0; vm < 2; ++vm) {
@@ -337,13 +325,12 @@
         expectAnswered(fleet.send(0, {}));
     }
 
-    // Symptom: the log's bill is not the one that the caller was told.
-    // Events: a stream breaks off after some tokens and can't be ended; the caller is told "unknown", asks again and
-    // gets the whole answer.
-    // Cause: the broken part had been billed, and the first bill of a request counts.
-    TEST_F(CoreTest, GivenUpRequestCostsNothing)
+    // Guards against a bill in the log that differs from the caller's answer: an answer breaks off after some tokens
+    // and can't be completed, the caller gets "unknown", retries and gets the whole answer. The first bill of a request
+    // counts, so the incomplete answer must not be billed.
+    TEST_F(CoreTest, AbandonedRequestIsNotBilled)
     {
-        fleet.engines.breakNext = 3;
+        fleet.engines.attemptsToBreak = 3;
         EXPECT_EQ(fleet.await(fleet.send(0, {}))->outcome, Outcome::Unknown);
         TestRequest again;
         again.attempt = 2;
@@ -351,7 +338,7 @@
         EXPECT_TRUE(fleet.runUntil([&] { return billedInLedger() == Tokens { 30 }; }));
     }
 
-    TEST_F(CoreTest, FreshVmThatReachesNobodyServesNothing)
+    TEST_F(CoreTest, IsolatedFreshVmServesNothing)
     {
         fleet.log.outage = true;
         fleet.replace(3);
--- a/tests/node/FakeFleet.cpp
+++ b/tests/node/FakeFleet.cpp
@@ -36,7 +36,7 @@
 }
 
 FakeFleet::FakeFleet(std::string holdingPolicy, std::uint32_t splitWays)
-    : moneyPolicy_(std::move(holdingPolicy))
+    : holdingPolicy_(std::move(holdingPolicy))
     , splitWays_(splitWays)
 {
 }
@@ -65,53 +65,53 @@
 
 void FakeFleet::startCore(std::size_t vm)
 {
-    Vm& place = vms_[vm];
-    place.incarnation = Incarnation { nextIncarnation_++ };
-    ++place.life;
-    place.running = true;
-    place.stopReady = false;
-    place.held.clear();
-    place.followed.clear();
-    place.attempts.clear();
+    Vm& vmState = vms_[vm];
+    vmState.incarnation = Incarnation { nextIncarnation_++ };
+    ++vmState.processNumber;
+    vmState.running = true;
+    vmState.stopReady = false;
+    vmState.heldEvents.clear();
+    vmState.followed.clear();
+    vmState.attempts.clear();
     CoreSettings settings;
-    settings.incarnation = place.incarnation;
-    settings.peerAddress = place.address;
-    settings.domain = place.domain;
+    settings.incarnation = vmState.incarnation;
+    settings.peerAddress = vmState.address;
+    settings.domain = vmState.domain;
     settings.region = Region { "r" };
-    settings.seed = place.incarnation.value();
-    settings.holdingPolicy = moneyPolicy_;
+    settings.seed = vmState.incarnation.value();
+    settings.holdingPolicy = holdingPolicy_;
     settings.splitWays = splitWays_;
     for (const Vm& other : vms_) {
         settings.seeds.push_back(other.address);
     }
-    place.core = std::make_unique<Core>(settings);
+    vmState.core = std::make_unique<Core>(settings);
     Actions actions;
-    place.core->start(now_, actions);
-    const std::uint64_t life = place.life;
-    later(tickPeriod, [this, vm, life] { tick(vm, life); });
+    vmState.core->start(now_, actions);
+    const std::uint64_t processNumber = vmState.processNumber;
+    later(tickPeriod, [this, vm, processNumber] { tick(vm, processNumber); });
     execute(vm, actions);
 }
 
 void FakeFleet::crash(std::size_t vm)
 {
     vms_[vm].running = false;
-    ++vms_[vm].life;
+    ++vms_[vm].processNumber;
 }
 
 void FakeFleet::replace(std::size_t vm)
 {
     crash(vm);
-    vms_[vm].frozen = false;
+    vms_[vm].paused = false;
     startCore(vm);
 }
 
-void FakeFleet::freeze(std::size_t vm) { vms_[vm].frozen = true; }
+void FakeFleet::pause(std::size_t vm) { vms_[vm].paused = true; }
 
-void FakeFleet::thaw(std::size_t vm)
+void FakeFleet::resume(std::size_t vm)
 {
-    vms_[vm].frozen = false;
-    for (const Event& event : std::exchange(vms_[vm].held, {})) {
-        deliver(vm, vms_[vm].life, event);
+    vms_[vm].paused = false;
+    for (const Event& event : std::exchange(vms_[vm].heldEvents, {})) {
+        deliver(vm, vms_[vm].processNumber, event);
     }
 }
 
@@ -180,11 +180,11 @@
     sent.promptTokens = Tokens { request.promptTokens };
     sent.maxAnswerTokens = Tokens { request.maxAnswerTokens };
     callers_[call] = { request.account, request.id };
-    deliver(vm, vms_[vm].life, RequestArrived { call, sent });
+    deliver(vm, vms_[vm].processNumber, RequestArrived { call, sent });
     return call;
 }
 
-std::string FakeFleet::asked(std::size_t vm, const std::string& topic, const std::string& argument)
+std::string FakeFleet::queryOperatorView(std::size_t vm, const std::string& topic, const std::string& argument)
 {
     Actions actions;
     vms_[vm].core->handle(OperatorAsked { 1, topic, argument }, now_, actions);
@@ -196,39 +196,39 @@
     return "";
 }
 
-void FakeFleet::stop(std::size_t vm) { deliver(vm, vms_[vm].life, StopRequested {}); }
+void FakeFleet::stop(std::size_t vm) { deliver(vm, vms_[vm].processNumber, StopRequested {}); }
 
-void FakeFleet::deliver(std::size_t vm, std::uint64_t life, const Event& event)
+void FakeFleet::deliver(std::size_t vm, std::uint64_t processNumber, const Event& event)
 {
-    Vm& place = vms_[vm];
-    if (!place.running || place.life != life) {
+    Vm& vmState = vms_[vm];
+    if (!vmState.running || vmState.processNumber != processNumber) {
         return;
     }
-    if (place.frozen) {
+    if (vmState.paused) {
         if (!std::holds_alternative<Tick>(event)) {
-            place.held.push_back(event);
+            vmState.heldEvents.push_back(event);
         }
         return;
     }
     Actions actions;
-    place.core->handle(event, now_, actions);
+    vmState.core->handle(event, now_, actions);
     execute(vm, actions);
 }
 
-void FakeFleet::tick(std::size_t vm, std::uint64_t life)
+void FakeFleet::tick(std::size_t vm, std::uint64_t processNumber)
 {
-    if (vms_[vm].life != life) {
+    if (vms_[vm].processNumber != processNumber) {
         return;
     }
-    deliver(vm, life, Tick {});
-    later(tickPeriod, [this, vm, life] { tick(vm, life); });
+    deliver(vm, processNumber, Tick {});
+    later(tickPeriod, [this, vm, processNumber] { tick(vm, processNumber); });
 }
 
 void FakeFleet::execute(std::size_t vm, Actions& actions)
 {
-    const std::uint64_t life = vms_[vm].life;
+    const std::uint64_t processNumber = vms_[vm].processNumber;
     for (Action& action : actions) {
-        if (vms_[vm].life != life) {
+        if (vms_[vm].processNumber != processNumber) {
             return;
         }
         if (const auto* dispatch = std::get_if<Dispatch>(&action)) {
@@ -240,7 +240,7 @@
         } else if (const auto* sent = std::get_if<SendPeer>(&action)) {
             on(vm, *sent);
         } else if (const auto* reply = std::get_if<Reply>(&action)) {
-            assert(!replies_.contains(reply->call) && "a caller gets one final answer");
+            assert(!replies_.contains(reply->call) && "a caller gets only one final answer");
             replies_[reply->call] = *reply;
             if (onReply) {
                 onReply(*reply);
@@ -261,47 +261,50 @@
 
 void FakeFleet::on(std::size_t vm, const Dispatch& dispatch)
 {
-    const std::uint64_t life = vms_[vm].life;
+    const std::uint64_t processNumber = vms_[vm].processNumber;
     const AttemptId attempt = dispatch.attempt;
-    if (engines.refuse || engines.full.contains(dispatch.backend)) {
-        later(messageDelay, [this, vm, life, attempt] {
-            deliver(vm, life, AttemptEnded { attempt, AttemptEnd::NotStarted, {}, {}, {}, "refused" });
+    if (engines.refuseAll || engines.fullEngines.contains(dispatch.backend)) {
+        later(messageDelay, [this, vm, processNumber, attempt] {
+            deliver(vm, processNumber, AttemptEnded { attempt, AttemptEnd::NotStarted, {}, {}, {}, "refused" });
         });
         return;
     }
     ++runs_[dispatch.key];
-    const bool breaks = engines.breakNext > 0;
-    engines.breakNext -= breaks ? 1 : 0;
-    later(engines.takes, [this, vm, life, attempt, breaks] {
+    const bool breaks = engines.attemptsToBreak > 0;
+    engines.attemptsToBreak -= breaks ? 1 : 0;
+    later(engines.answerDelay, [this, vm, processNumber, attempt, breaks] {
         const Tokens answer { breaks ? 3 : 20 };
-        deliver(vm, life, AttemptProgress { attempt, answer });
+        deliver(vm, processNumber, AttemptProgress { attempt, answer });
         const auto end = breaks ? AttemptEnd::Broken : AttemptEnd::Completed;
-        deliver(vm, life, AttemptEnded { attempt, end, Tokens { 10 }, answer, {}, breaks ? "broken" : "" });
+        deliver(vm, processNumber, AttemptEnded { attempt, end, Tokens { 10 }, answer, {}, breaks ? "broken" : "" });
     });
 }
 
 void FakeFleet::on(std::size_t vm, const Append& append)
 {
-    const std::uint64_t life = vms_[vm].life;
+    const std::uint64_t processNumber = vms_[vm].processNumber;
     const StreamName stream = append.stream;
     if (!reachesLog(vm)) {
-        later(messageDelay, [this, vm, life, stream] { deliver(vm, life, LogUnreachable { stream, "append" }); });
+        later(messageDelay, [this, vm, processNumber, stream] {
+            deliver(vm, processNumber, LogUnreachable { stream, "append" });
+        });
         return;
     }
     ++traffic.appends;
     traffic.appendedBytes += append.record.size();
-    // Renewals of the order lease may not use up what a test aims at the ledger.
-    const bool aimed = stream == ledgerName;
-    const bool late = aimed && log.lateAppends > 0;
-    const bool lost = aimed && log.loseAnswers > 0;
-    log.lateAppends -= late ? 1 : 0;
-    log.loseAnswers -= !late && lost ? 1 : 0;
-    later(late ? log.lateBy : logDelay, [this, stream, record = append.record] { appendDirectly(stream, record); });
-    later(logDelay + messageDelay, [this, vm, life, stream, late, lost] {
+    // Faults apply to appends to the ledger only, so that renewals of the order lease don't use them up.
+    const bool onLedger = stream == ledgerName;
+    const bool late = onLedger && log.appendsToDelay > 0;
+    const bool lost = onLedger && log.answersToLose > 0;
+    log.appendsToDelay -= late ? 1 : 0;
+    log.answersToLose -= !late && lost ? 1 : 0;
+    later(
+        late ? log.appendDelay : logDelay, [this, stream, record = append.record] { appendDirectly(stream, record); });
+    later(logDelay + messageDelay, [this, vm, processNumber, stream, late, lost] {
         if (late || lost) {
-            deliver(vm, life, LogUnreachable { stream, "answer lost" });
+            deliver(vm, processNumber, LogUnreachable { stream, "answer lost" });
         } else {
-            deliver(vm, life, AppendAnswered { stream });
+            deliver(vm, processNumber, AppendAnswered { stream });
         }
     });
 }
@@ -311,35 +314,35 @@
     const bool known = vms_[vm].followed.contains(follow.stream);
     vms_[vm].followed[follow.stream] = follow.from.value();
     if (!known) {
-        const std::uint64_t life = vms_[vm].life;
-        later(messageDelay, [this, vm, life, stream = follow.stream] { poll(vm, life, stream); });
+        const std::uint64_t processNumber = vms_[vm].processNumber;
+        later(messageDelay, [this, vm, processNumber, stream = follow.stream] { poll(vm, processNumber, stream); });
     }
 }
 
-void FakeFleet::poll(std::size_t vm, std::uint64_t life, const StreamName& stream)
+void FakeFleet::poll(std::size_t vm, std::uint64_t processNumber, const StreamName& stream)
 {
-    Vm& place = vms_[vm];
-    if (place.life != life) {
+    Vm& vmState = vms_[vm];
+    if (vmState.processNumber != processNumber) {
         return;
     }
-    if (place.frozen) {
-        later(pollPeriod, [this, vm, life, stream] { poll(vm, life, stream); });
+    if (vmState.paused) {
+        later(pollPeriod, [this, vm, processNumber, stream] { poll(vm, processNumber, stream); });
         return;
     }
     if (!reachesLog(vm)) {
-        deliver(vm, life, LogUnreachable { stream, "read" });
-        later(failedPollPeriod, [this, vm, life, stream] { poll(vm, life, stream); });
+        deliver(vm, processNumber, LogUnreachable { stream, "read" });
+        later(failedPollPeriod, [this, vm, processNumber, stream] { poll(vm, processNumber, stream); });
         return;
     }
     const auto& records = streams_[stream];
-    std::uint64_t& from = place.followed[stream];
+    std::uint64_t& from = vmState.followed[stream];
     LogRecords read { stream, Offset { from }, {}, Offset { records.size() } };
     for (; from < records.size(); ++from) {
         read.records.push_back(records[from]);
         traffic.readBytes += records[from].size();
     }
-    deliver(vm, life, read);
-    later(pollPeriod, [this, vm, life, stream] { poll(vm, life, stream); });
+    deliver(vm, processNumber, read);
+    later(pollPeriod, [this, vm, processNumber, stream] { poll(vm, processNumber, stream); });
 }
 
 void FakeFleet::on(std::size_t vm, const SendPeer& send)
@@ -356,9 +359,9 @@
                .size();
     const PeerReceived received { vms_[vm].incarnation, vms_[vm].address, send.message, send.shard };
     later(messageDelay, [this, vm, to, receiver = send.receiver, received] {
-        const bool wrongLife = receiver != Incarnation {} && receiver != vms_[to].incarnation;
-        if (!cuts_.contains({ vm, to }) && !wrongLife) {
-            deliver(to, vms_[to].life, received);
+        const bool otherProcess = receiver != Incarnation {} && receiver != vms_[to].incarnation;
+        if (!cuts_.contains({ vm, to }) && !otherProcess) {
+            deliver(to, vms_[to].processNumber, received);
         }
     });
 }
--- a/tests/node/FakeFleet.h
+++ b/tests/node/FakeFleet.h
@@ -16,7 +16,7 @@
 
 namespace swiftlift::node::testing {
 
-/** What a test sends. */
+/** A caller's request. */
 struct TestRequest {
     std::string account = "club";
     std::string service = "plans";
@@ -28,27 +28,27 @@
     Duration deadline = std::chrono::seconds(10);
 };
 
-/** What the platform's log does at the moment. */
+/** Faults of the platform's log. */
 struct LogBehaviour {
     bool outage = false;
-    /** Appends that take effect but whose answer is lost. */
-    int loseAnswers = 0;
-    /** Appends that take effect this much later, their answer lost. */
-    int lateAppends = 0;
-    Duration lateBy {};
+    /** Number of next appends to the ledger that take effect but whose answer is lost. */
+    int answersToLose = 0;
+    /** Number of next appends to the ledger that take effect after `appendDelay` and whose answer is lost. */
+    int appendsToDelay = 0;
+    Duration appendDelay {};
 };
 
-/** What the fake engines do at the moment. */
+/** Behaviour of the fake engines. */
 struct EngineBehaviour {
-    Duration takes = std::chrono::milliseconds(20);
-    /** The next attempts break off after they have run. */
-    int breakNext = 0;
-    bool refuse = false;
-    /** These start nothing. */
-    std::set<BackendId> full;
+    Duration answerDelay = std::chrono::milliseconds(20);
+    /** Number of next attempts whose connection breaks after they have run. */
+    int attemptsToBreak = 0;
+    bool refuseAll = false;
+    /** Engines that refuse every attempt as full. */
+    std::set<BackendId> fullEngines;
 };
 
-/** What went between the processes, as encoded by the product. */
+/** Traffic between the processes, in the product's own encoding. */
 struct Traffic {
     std::uint64_t appends = 0;
     std::uint64_t appendedBytes = 0;
@@ -58,56 +58,70 @@
 };
 
 /**
- * Some cores, a log and engines in one thread under one clock: every delay is fixed, every run the same. Small on
- * purpose: it delivers, delays, cuts and kills, and decides nothing.
+ * @brief Simulates cores, a log and engines in one thread under one clock.
+ *
+ * Every delay is fixed, so runs are reproducible. The simulation only delivers, delays and drops messages and stops
+ * processes; all decisions are made by the cores.
  */
 class FakeFleet {
 public:
     static constexpr Duration messageDelay = std::chrono::milliseconds(1);
     static constexpr Duration logDelay = std::chrono::milliseconds(4);
 
-    /** @param holdingPolicy As CoreSettings::holdingPolicy. @param splitWays As CoreSettings::splitWays. */
+    /**
+     * @param holdingPolicy See CoreSettings::holdingPolicy.
+     * @param splitWays See CoreSettings::splitWays.
+     */
     explicit FakeFleet(std::string holdingPolicy = "grants", std::uint32_t splitWays = 4);
 
     /** @return Index of the new VM. */
     std::size_t addVm(const std::string& domain);
-    /** Ends the process without a word. */
+    /** Ends the process without a planned stop. */
     void crash(std::size_t vm);
-    /** A new process at the same address. */
+    /** Crashes the process and starts a new one at the same address. */
     void replace(std::size_t vm);
-    /** Nothing runs there until thaw(); what arrives meanwhile waits. */
-    void freeze(std::size_t vm);
-    void thaw(std::size_t vm);
+    /** Pauses the process until resume(); events that arrive meanwhile are held. */
+    void pause(std::size_t vm);
+    /** Continues a paused process and delivers the held events. */
+    void resume(std::size_t vm);
+    /** Drops messages between the two VMs until heal(). */
     void cut(std::size_t left, std::size_t right);
+    /** Makes the log unreachable for the VM until heal(). */
     void cutFromLog(std::size_t vm);
+    /** Undoes cut() and cutFromLog() for all VMs. */
     void heal();
 
     void openAccount(const std::string& account);
     void topUp(const std::string& account, std::int64_t tokens);
     void publish(const std::string& document);
 
+    /** Sends the request to the VM's router. @return The call, for await() and replyOf(). */
     CallId send(std::size_t vm, const TestRequest& request);
+    /** Starts a planned stop. */
     void stop(std::size_t vm);
-    /** @return What the router answers an operator's or caller's question. */
-    [[nodiscard]] std::string asked(std::size_t vm, const std::string& topic, const std::string& argument);
-    /** Hands an event to a VM, as its transport would. */
-    void tell(std::size_t vm, const Event& event) { deliver(vm, vms_[vm].life, event); }
+    /** @return The router's answer, as JSON, to an operator's or a caller's question. */
+    [[nodiscard]] std::string queryOperatorView(std::size_t vm, const std::string& topic, const std::string& argument);
+    /** Passes an event to a VM's core, as its transport would. */
+    void deliverEvent(std::size_t vm, const Event& event) { deliver(vm, vms_[vm].processNumber, event); }
 
     void run(Duration duration);
-    /** @return False when `condition` did not come true within `bound`. */
+    /** Runs until `condition` is true. @return False when that takes longer than `bound`. */
     [[nodiscard]] bool runUntil(const std::function<bool()>& condition, Duration bound = std::chrono::seconds(60));
-    /** @return The reply; nothing when none came within a minute. */
+    /** Runs until the call is answered. @return The reply; std::nullopt when there is none within a minute. */
     [[nodiscard]] std::optional<Reply> await(CallId call);
     [[nodiscard]] std::optional<Reply> replyOf(CallId call) const;
 
-    /** @return The ledger as an outsider folds it from the log. */
+    /** @return The ledger, folded from the log independently of the cores. */
     [[nodiscard]] ledger::Fold auditedLedger() const;
-    /** @return Sum of what callers were billed by their answers, each request once. */
+    /** @return Tokens billed according to the answers that callers got, each request counted once. */
     [[nodiscard]] std::int64_t billedByAnswers(const std::string& account) const;
-    /** @return How often the request was started by an engine. */
+    /** @return Number of times an engine started the request. */
     [[nodiscard]] int runsOf(const std::string& account, const std::string& id) const;
+    /** @return True when the process has completed its planned stop. */
     [[nodiscard]] bool ended(std::size_t vm) const { return vms_[vm].stopReady; }
+    /** @return True when the core has ordered a restart of its process. */
     [[nodiscard]] bool restarted(std::size_t vm) const { return vms_[vm].restarts > 0; }
+    /** @return The VM's log lines of this kind, oldest first. */
     [[nodiscard]] std::vector<LogLine> linesOf(std::size_t vm, const std::string& kind) const;
 
     /** @return The incarnation of the VM's process. */
@@ -131,13 +145,16 @@
         PeerAddress address;
         FailureDomain domain;
         Incarnation incarnation;
-        std::uint64_t life = 0;
+        /** Incremented when a process starts or ends: events and tasks of an earlier process are dropped. */
+        std::uint64_t processNumber = 0;
         bool running = false;
-        bool frozen = false;
+        bool paused = false;
         bool cutFromLog = false;
         bool stopReady = false;
         int restarts = 0;
-        std::vector<Event> held;
+        /** Events that arrived while the process was paused. */
+        std::vector<Event> heldEvents;
+        /** Next offset to read of each stream that the core follows. */
         std::map<StreamName, std::uint64_t> followed;
         std::map<AttemptId, RequestKey> attempts;
         std::vector<LogLine> lines;
@@ -155,19 +172,19 @@
 
     void later(Duration delay, std::function<void()> work);
     void startCore(std::size_t vm);
-    void deliver(std::size_t vm, std::uint64_t life, const Event& event);
+    void deliver(std::size_t vm, std::uint64_t processNumber, const Event& event);
     void execute(std::size_t vm, Actions& actions);
     void on(std::size_t vm, const Dispatch& dispatch);
     void on(std::size_t vm, const Append& append);
     void on(std::size_t vm, const Follow& follow);
     void on(std::size_t vm, const SendPeer& send);
-    void poll(std::size_t vm, std::uint64_t life, const StreamName& stream);
-    void tick(std::size_t vm, std::uint64_t life);
+    void poll(std::size_t vm, std::uint64_t processNumber, const StreamName& stream);
+    void tick(std::size_t vm, std::uint64_t processNumber);
     void appendDirectly(const StreamName& stream, const std::string& record);
     void appendEntry(ledger::Entry entry);
     [[nodiscard]] bool reachesLog(std::size_t vm) const;
 
-    std::string moneyPolicy_;
+    std::string holdingPolicy_;
     std::uint32_t splitWays_;
     Instant now_ {};
     std::uint64_t order_ = 0;
@@ -184,7 +201,7 @@
     std::uint64_t nextPublish_ = 0;
 };
 
-/** A model service open to one account, with one engine in each of two domains. */
+/** @return The document of a model service that the accounts may use, with one engine in each of two domains. */
 [[nodiscard]] std::string plansDocument(
     const std::vector<std::string>& accounts = { "club" }, const std::string& weighting = "refusals");
 
