--- a/include/swiftlift/membership/Membership.h
+++ b/include/swiftlift/membership/Membership.h
@@ -20,79 +20,107 @@
 namespace swiftlift::membership {
 
 /**
- * @brief One router's view of the other routers: who lives, who is silent, whom to ask for what.
+ * @brief One router's view of the other routers: which are alive, which are silent, and which serve as this router's
+ * witness, remote replicas and lenders.
  *
- * No group agrees on anything here. Each router judges by the heartbeats it hears; the platform's list only says where
- * to look. What must be agreed on stands in the ledger.
+ * The view is local: routers do not reach consensus on membership. Each router decides by the heartbeats that it
+ * receives; the platform's list of VMs only supplies addresses. Decisions that need consensus are made in the ledger.
  */
 class Membership {
 public:
+    /** @param settings This router's identity, seed addresses, periods and limits. */
     explicit Membership(MembershipSettings settings);
 
     /**
-     * @brief Takes in a heartbeat.
+     * @brief Processes a received heartbeat.
      * @param from Sender's incarnation.
-     * @param address Where the sender says it is reached.
+     * @param address Address that the sender gives as its own.
+     * @param facts What the sender reports about itself.
+     * @param now Time of receipt.
      */
     void onHeartbeat(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
 
-    /** @brief Takes in the platform's list, whole. */
+    /**
+     * @brief Replaces the known list of VMs.
+     * @param vms The platform's complete list of VMs.
+     */
     void onVmList(const std::vector<ListedVm>& vms, Instant now);
 
-    /** @brief The ledger has retired this incarnation: it never counts as alive again. */
+    /**
+     * @brief Removes an incarnation that the ledger has retired; later heartbeats from the incarnation are ignored.
+     * @param incarnation The retired incarnation.
+     */
     void retire(Incarnation incarnation);
 
     /**
-     * @brief Names the peers to exchange heartbeats with in every period, wherever they are: those whose grants this
-     * router witnesses, or whose copies it keeps. Its own witness and keeper are watched without being named.
+     * @brief Sets the peers to exchange heartbeats with in every period, whatever their failure domain: those whose
+     * grants this router witnesses or for which this router is a replica. This router's own witness, remote replica and
+     * second remote replica are always watched and need not be listed.
+     * @param watched All peers to watch; peers of an earlier call that are missing here are no longer watched.
+     * @param now Start of the watch for peers that were not watched before.
      */
     void setWatched(const std::vector<Incarnation>& watched, Instant now);
 
-    /** @return What is to be sent and what changed. To be called at least every 50 ms. */
+    /**
+     * @brief Advances timers and elections. Call at least every 50 ms.
+     * @param now Present time.
+     * @return Heartbeats to send now, and membership events since the last tick.
+     */
     [[nodiscard]] MembershipActions tick(Instant now);
 
-    /** @return Whom a grant drawn now should name as witness. Stays the same as long as that peer is fit. */
+    /**
+     * @return The peer that new grants name as witness; empty when no peer is eligible. Unchanged while that peer is
+     * eligible, unless a nearer peer becomes eligible.
+     */
     [[nodiscard]] std::optional<Incarnation> witness() const noexcept { return witness_.peer; }
 
     /**
-     * @return Whom to give copies that must outlive this router's whole failure domain: a peer beyond it. Stays the
-     * same as long as that peer is fit.
+     * @return The remote replica: a peer of another failure domain that stores copies which must survive the loss of
+     * this router's whole failure domain. Unchanged as long as that peer is eligible.
      */
     [[nodiscard]] std::optional<Incarnation> remoteReplica() const noexcept { return remoteReplica_.peer; }
 
     /**
-     * @return Whom to give them as well: another peer beyond the failure domain, in a domain other than the first
-     * keeper's where there is one.
+     * @return The second remote replica: another peer outside this router's failure domain. Among peers of one region,
+     * those outside the first remote replica's failure domain are preferred.
      */
     [[nodiscard]] std::optional<Incarnation> secondRemoteReplica() const noexcept { return secondRemoteReplica_.peer; }
 
-    /** @return True when VMs beyond the failure domain are known, whether or not one is heard now. */
+    /** @return True when VMs of other failure domains are listed or known as peers, whether or not any is alive. */
     [[nodiscard]] bool knowsRemoteVms() const;
 
-    /** @return True when peers have had the time to be heard: before, a missing witness may just be unknown. */
+    /**
+     * @return True once a peer of the own failure domain can be the witness, or three heartbeat periods have passed
+     * since the first tick. Before that, a missing witness may only mean that no heartbeat has arrived yet.
+     */
     [[nodiscard]] bool settled() const noexcept { return settled_; }
 
-    /** @return Peers that are alive: own failure domain first, then own region, then the others. */
+    /** @return Live peers: own failure domain first, then own region, then other regions. */
     [[nodiscard]] std::vector<Incarnation> alivePeers() const;
 
-    /** @return Peers to ask for a loan, nearest first. */
+    /** @return Live peers to request a loan from, nearest first; without VMs that are stopping or leaving. */
     [[nodiscard]] std::vector<Incarnation> lenders() const;
 
-    /** @return The nearest live peer that said a moment ago that it reaches the platform's log. */
+    /**
+     * @return The nearest live peer that reported the platform's log as reachable within the last
+     * `MembershipSettings::logReportLifetime`.
+     */
     [[nodiscard]] std::optional<Incarnation> logReachablePeer() const;
 
-    /** @return Where the incarnation was last heard from; nothing when it is unknown or over. */
+    /** @return Address of the incarnation; empty when the incarnation is unknown, replaced or retired. */
     [[nodiscard]] std::optional<PeerAddress> addressOf(Incarnation incarnation) const;
 
+    /** @return True when the incarnation is known and not suspected. */
     [[nodiscard]] bool isAlive(Incarnation incarnation) const;
 
-    /** @return When the incarnation was last heard; nothing when it is unknown or over. */
+    /** @return Time of the incarnation's last heartbeat; empty when the incarnation is unknown, replaced or retired. */
     [[nodiscard]] std::optional<Instant> lastHeard(Incarnation incarnation) const;
 
-    /** @return True when the platform lists this VM as leaving. */
+    /** @return True when the platform lists this router's VM as leaving. */
     [[nodiscard]] bool selfLeaving() const noexcept { return selfLeaving_; }
 
-    /** @return Peers known, by state; for operators and metrics. */
+    /** @brief Numbers of peers by state, and of VMs in the platform's list without this one; for operators and metrics.
+     */
     struct Counts {
         std::size_t alive = 0;
         std::size_t aliveInDomain = 0;
@@ -112,64 +140,70 @@
         Instant suspectedAt {};
     };
 
-    /** An unknown incarnation at the address of a known one. */
+    /** @brief An unknown incarnation that claims the address of a known incarnation. */
     struct Candidate {
         Incarnation incarnation;
         Instant firstHeard {};
     };
 
+    /** @brief A VM in the platform's list. */
     struct Listed {
         FailureDomain domain;
         Region region;
         bool leaving = false;
     };
 
-    /** A peer with a duty for this router, heard in every period. */
-    struct Chosen {
+    /** @brief The peer elected for one role; heartbeats are exchanged with this peer in every period. */
+    struct ElectedPeer {
         std::optional<Incarnation> peer;
         Instant since {};
 
-        /** Takes another peer, or nobody, from now on; the same one keeps its moment. */
-        void choose(std::optional<Incarnation> other, Instant now);
+        /** @brief Sets the peer; `since` changes only when the peer does. */
+        void setPeer(std::optional<Incarnation> newPeer, Instant now);
     };
 
     using Peers = std::map<Incarnation, Peer>;
 
-    void join(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
-    void contest(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
-    void replace(Incarnation incumbent, Instant now);
-    void refresh(Incarnation from, const HeartbeatFacts& facts, Instant now);
-    void remember(Incarnation over);
-    void drop(Incarnation incarnation);
-    void noticePause(Instant now);
-    void suspectSilent(Instant now);
-    void forgetOld(Instant now);
-    void settle(Instant now);
+    void addPeer(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
+    void contestAddress(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
+    void replaceIncumbent(Incarnation incumbent, Instant now);
+    void updatePeer(Incarnation from, const HeartbeatFacts& facts, Instant now);
+    void rememberEnded(Incarnation ended);
+    void removePeer(Incarnation incarnation);
+    void detectOwnPause(Instant now);
+    void suspectSilentPeers(Instant now);
+    void forgetUnlistedPeers(Instant now);
+    void updateSettled(Instant now);
     void chooseWitness(Instant now);
     void chooseRemoteReplicas(Instant now);
-    /** @return The nearest fit peer beyond the failure domain but the keeper, of another domain than its where
-     * possible.
-     */
+    /** @return The eligible peer of least secondRemoteReplicaCost(), the remote replica excepted; empty if none. */
     [[nodiscard]] std::optional<Incarnation> bestSecondRemoteReplica() const;
-    /** @return The less, the better a second keeper the peer is: its distance, and whether it shares the first one's
-     * domain. */
+    /**
+     * @return Cost of the peer as second remote replica: its distance, then whether the peer is in the first remote
+     * replica's failure domain. Lower is better.
+     */
     [[nodiscard]] std::pair<int, bool> secondRemoteReplicaCost(Incarnation peer) const;
-    void answer(const PeerAddress& address, Instant now);
+    void scheduleAnswer(const PeerAddress& address, Instant now);
     void planAnswers(Instant now, MembershipActions& actions);
     void planHeartbeats(Instant now, MembershipActions& actions);
     void planSend(const PeerAddress& address, Instant now, MembershipActions& actions);
     void refreshRotations();
-    [[nodiscard]] std::set<PeerAddress> everyPeriod() const;
-    [[nodiscard]] std::set<PeerAddress> known() const;
-    [[nodiscard]] Duration turn(const Rotation& rotation, std::uint32_t perPeriod) const;
-    [[nodiscard]] Duration limitFor(Incarnation incarnation, const Peer& peer) const;
-    [[nodiscard]] Duration silenceOf(Incarnation incarnation, const Peer& peer, Instant now) const;
-    [[nodiscard]] bool inDomain(const PeerAddress& address) const;
-    [[nodiscard]] bool fitForDuty(const Peer& peer) const;
+    [[nodiscard]] std::set<PeerAddress> everyPeriodAddresses() const;
+    [[nodiscard]] std::set<PeerAddress> knownAddresses() const;
+    /** @return Time in which each address of the rotation gets a heartbeat once. */
+    [[nodiscard]] Duration rotationPeriod(const Rotation& rotation, std::uint32_t perPeriod) const;
+    /** @return Silence after which the peer is suspected. */
+    [[nodiscard]] Duration silenceLimitFor(Incarnation incarnation, const Peer& peer) const;
+    [[nodiscard]] Duration silenceDuration(Incarnation incarnation, const Peer& peer, Instant now) const;
+    [[nodiscard]] bool isInOwnDomain(const PeerAddress& address) const;
+    /** @return True when the peer is alive and neither stopping nor listed as leaving. */
+    [[nodiscard]] bool isEligible(const Peer& peer) const;
     [[nodiscard]] bool mayWitness(Incarnation incarnation) const;
-    [[nodiscard]] bool mayKeepFromAfar(Incarnation incarnation) const;
-    /** @return Since when the peer is heard in every period; nothing when its turn comes by rotation. */
-    [[nodiscard]] std::optional<Instant> closeSince(Incarnation incarnation) const;
+    [[nodiscard]] bool mayBeRemoteReplica(Incarnation incarnation) const;
+    /** @return Start of the every-period heartbeats with the peer; empty when the peer is contacted by rotation only.
+     */
+    [[nodiscard]] std::optional<Instant> everyPeriodSince(Incarnation incarnation) const;
+    /** @return 0 in the own failure domain, 1 in the own region, 2 beyond. */
     [[nodiscard]] int distance(const Peer& peer) const;
     [[nodiscard]] std::uint64_t rank(Incarnation incarnation) const;
     [[nodiscard]] std::vector<Incarnation> nearestFirst() const;
@@ -177,25 +211,25 @@
     MembershipSettings settings_;
     std::mt19937_64 random_;
     Peers peers_;
-    std::map<PeerAddress, Incarnation> current_;
+    std::map<PeerAddress, Incarnation> incarnationByAddress_;
     std::map<PeerAddress, Candidate> candidates_;
     std::map<PeerAddress, Listed> listed_;
-    /** Bounded: the ledger remembers for good. */
-    std::unordered_set<Incarnation> over_;
-    std::deque<Incarnation> overOrder_;
-    /** Since when each is watched. */
+    /** Incarnations replaced or retired. Bounded; the ledger keeps retired incarnations for good. */
+    std::unordered_set<Incarnation> ended_;
+    std::deque<Incarnation> endedOrder_;
+    /** Watched peers, each with the start of its watch. */
     std::map<Incarnation, Instant> watched_;
-    std::set<PeerAddress> answers_;
+    std::set<PeerAddress> pendingAnswers_;
     std::unordered_map<PeerAddress, Instant> lastSent_;
     Rotation domainRotation_;
-    Rotation distantRotation_;
+    Rotation remoteRotation_;
     std::vector<MembershipEvent> events_;
-    Chosen witness_;
-    Chosen remoteReplica_;
-    Chosen secondRemoteReplica_;
+    ElectedPeer witness_;
+    ElectedPeer remoteReplica_;
+    ElectedPeer secondRemoteReplica_;
     std::optional<Instant> firstTick_;
     Instant lastTick_ {};
-    /** No silence counts from before this moment. */
+    /** Silence before this time is not counted: start of the process, or end of its last pause. */
     Instant timersFrom_ {};
     Instant nextHeartbeat_ {};
     bool settled_ = false;
--- a/include/swiftlift/membership/MembershipEvent.h
+++ b/include/swiftlift/membership/MembershipEvent.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::membership {
 
-/** What a heartbeat says of its sender. */
+/** @brief What a heartbeat reports about its sender. */
 struct HeartbeatFacts {
     FailureDomain domain;
     Region region;
@@ -17,7 +17,7 @@
     bool logReachable = false;
 };
 
-/** A line of the platform's list of VMs: lagging, advice only. */
+/** @brief A VM in the platform's list. The list lags behind, so entries are hints only. */
 struct ListedVm {
     PeerAddress address;
     FailureDomain domain;
@@ -25,46 +25,50 @@
     bool leaving = false;
 };
 
+/** @brief Why a peer is suspected. */
 enum class SuspicionCause : std::uint8_t {
+    /** No heartbeat within the peer's silence limit. */
     Silent,
-    /** Another incarnation lives at its address: this one is over for good. */
+    /** Another incarnation now runs at the peer's address; the peer has ended for good. */
     Replaced,
 };
 
-/** Heard for the first time, or for the first time since it was forgotten. */
+/** @brief First heartbeat of a peer that is unknown or was forgotten. */
 struct Joined {
     Incarnation peer;
     PeerAddress address;
     FailureDomain domain;
 };
-/** Its grants may be sealed; a wrong suspicion costs refusals, never money. */
+/** @brief The peer is presumed dead and its grants may be sealed. A wrong suspicion costs refusals, never tokens. */
 struct Suspected {
     Incarnation peer;
     PeerAddress address;
     SuspicionCause cause = SuspicionCause::Silent;
     Duration silence {};
 };
+/** @brief A suspected peer sent a heartbeat and is alive again. */
 struct Recovered {
     Incarnation peer;
     PeerAddress address;
 };
-/** Out of the books: replaced, retired by the ledger, or long silent and no longer listed. */
+/** @brief The peer was removed: replaced, retired by the ledger, or long silent and no longer listed. */
 struct Left {
     Incarnation peer;
     PeerAddress address;
 };
-/** This process did not run for `gap`: the silence was its own, nobody is suspected for it. */
+/** @brief This process did not run for `gap`. No peer is suspected for silence during that time. */
 struct SelfPaused {
     Duration gap {};
 };
 
+/** @brief A change in the view of the other routers. */
 using MembershipEvent = std::variant<Joined, Suspected, Recovered, Left, SelfPaused>;
 
-/** What a tick asks for. */
+/** @brief Result of one tick. */
 struct MembershipActions {
-    /** Addresses to send a heartbeat now. */
+    /** Addresses to send a heartbeat to now. */
     std::vector<PeerAddress> heartbeats;
-    /** Since the last tick, in order. */
+    /** Events since the last tick, oldest first. */
     std::vector<MembershipEvent> events;
 };
 
--- a/include/swiftlift/membership/Rotation.h
+++ b/include/swiftlift/membership/Rotation.h
@@ -10,15 +10,23 @@
 
 namespace swiftlift::membership {
 
-/** @brief Addresses taken in turn, a few at a time; the order differs from router to router. */
+/** @brief Round-robin order of addresses, random per router. */
 class Rotation {
 public:
-    /** @brief Takes in new addresses at random places, and leaves out those that are gone. */
+    /**
+     * @brief Inserts new addresses at random positions and removes addresses that are no longer given.
+     * @param addresses All addresses of the rotation.
+     * @param random Source of the positions.
+     */
     void assign(const std::set<PeerAddress>& addresses, std::mt19937_64& random);
 
-    /** @return The next ones in turn, at most `count` and none twice. */
+    /**
+     * @brief Moves the returned addresses to the end of the order.
+     * @return The next addresses, at most `count`, each at most once.
+     */
     [[nodiscard]] std::vector<PeerAddress> next(std::size_t count);
 
+    /** @return Number of addresses. */
     [[nodiscard]] std::size_t size() const noexcept { return order_.size(); }
 
 private:
--- a/src/membership/Heartbeats.cpp
+++ b/src/membership/Heartbeats.cpp
@@ -7,24 +7,25 @@
 
 namespace {
 
-    // Of its turns, how many a peer may miss before it is suspected.
-    constexpr std::int64_t missedTurns = 3;
+    // Turns of the rotation in a row that a peer may miss before the peer is suspected.
+    constexpr std::int64_t maxMissedTurns = 3;
 
 } // namespace
 
-// Beyond the domain, a peer that gets a heartbeat out of turn answers it, so that whoever watches it hears it as often
-// as it asks. Half a period without a send keeps two peers from answering each other's answers for ever.
-void Membership::answer(const PeerAddress& address, Instant now)
+// A heartbeat from another failure domain is answered at once, so that a router that watches this one gets one
+// heartbeat for each that the watching router sends, not one per rotation. No answer follows within half a period of
+// the last send: otherwise two peers would answer each other's answers endlessly.
+void Membership::scheduleAnswer(const PeerAddress& address, Instant now)
 {
     const auto sent = lastSent_.find(address);
     if (sent == lastSent_.end() || now - sent->second >= settings_.heartbeatPeriod / 2) {
-        answers_.insert(address);
+        pendingAnswers_.insert(address);
     }
 }
 
 void Membership::planAnswers(Instant now, MembershipActions& actions)
 {
-    const std::set<PeerAddress> answers = std::exchange(answers_, {});
+    const std::set<PeerAddress> answers = std::exchange(pendingAnswers_, {});
     for (const PeerAddress& address : answers) {
         planSend(address, now, actions);
     }
@@ -37,13 +38,13 @@
     }
     nextHeartbeat_ = now + settings_.heartbeatPeriod;
     std::erase_if(lastSent_, [&](const auto& entry) { return now - entry.second > settings_.heartbeatPeriod; });
-    for (const PeerAddress& address : everyPeriod()) {
+    for (const PeerAddress& address : everyPeriodAddresses()) {
         planSend(address, now, actions);
     }
     for (const PeerAddress& address : domainRotation_.next(settings_.domainPerPeriod)) {
         planSend(address, now, actions);
     }
-    for (const PeerAddress& address : distantRotation_.next(settings_.remotePerPeriod)) {
+    for (const PeerAddress& address : remoteRotation_.next(settings_.remotePerPeriod)) {
         planSend(address, now, actions);
     }
 }
@@ -58,14 +59,14 @@
     actions.heartbeats.push_back(address);
 }
 
-// Witness and holder watch each other, and so do the keeper of copies and their author: these few are heard in every
-// period whatever the size of the fleet. How soon a dead holder's grant is sealed and its last bills are appended
-// depends on them alone.
-std::set<PeerAddress> Membership::everyPeriod() const
+// Witness and holder exchange heartbeats in every period, and so do a replica and the author of the copies, whatever
+// the size of the fleet. How soon a dead holder's grant is sealed and its last bills are appended depends on these
+// heartbeats alone.
+std::set<PeerAddress> Membership::everyPeriodAddresses() const
 {
     std::set<PeerAddress> addresses;
     for (const auto& [incarnation, peer] : peers_) {
-        if (closeSince(incarnation)) {
+        if (everyPeriodSince(incarnation)) {
             addresses.insert(peer.address);
         }
     }
@@ -75,13 +76,13 @@
     return addresses;
 }
 
-std::set<PeerAddress> Membership::known() const
+std::set<PeerAddress> Membership::knownAddresses() const
 {
     std::set<PeerAddress> addresses { settings_.seeds.begin(), settings_.seeds.end() };
     for (const auto& [address, vm] : listed_) {
         addresses.insert(address);
     }
-    for (const auto& [address, incarnation] : current_) {
+    for (const auto& [address, incarnation] : incarnationByAddress_) {
         addresses.insert(address);
     }
     addresses.erase(settings_.address);
@@ -91,54 +92,55 @@
 void Membership::refreshRotations()
 {
     std::set<PeerAddress> domain;
-    std::set<PeerAddress> distant;
-    for (const PeerAddress& address : known()) {
-        (inDomain(address) ? domain : distant).insert(address);
+    std::set<PeerAddress> remote;
+    for (const PeerAddress& address : knownAddresses()) {
+        (isInOwnDomain(address) ? domain : remote).insert(address);
     }
     domainRotation_.assign(domain, random_);
-    distantRotation_.assign(distant, random_);
+    remoteRotation_.assign(remote, random_);
 }
 
-Duration Membership::turn(const Rotation& rotation, std::uint32_t perPeriod) const
+Duration Membership::rotationPeriod(const Rotation& rotation, std::uint32_t perPeriod) const
 {
-    const std::size_t most = std::max<std::size_t>(perPeriod, 1);
-    const std::size_t periods = (rotation.size() + most - 1) / most;
+    const std::size_t batch = std::max<std::size_t>(perPeriod, 1);
+    const std::size_t periods = (rotation.size() + batch - 1) / batch;
     return static_cast<std::int64_t>(std::max<std::size_t>(periods, 1)) * settings_.heartbeatPeriod;
 }
 
-// Peers speak once in a turn, which grows with the domain and the fleet. Judged by the limit of those that speak in
-// every period, all of them would be suspected and recover, over and over.
-Duration Membership::limitFor(Incarnation incarnation, const Peer& peer) const
+// A peer contacted by rotation sends one heartbeat per rotation, which takes longer the larger the domain and the fleet
+// are. Under the limit for peers with heartbeats in every period, such peers would be suspected and recover repeatedly.
+Duration Membership::silenceLimitFor(Incarnation incarnation, const Peer& peer) const
 {
-    if (closeSince(incarnation)) {
+    if (everyPeriodSince(incarnation)) {
         return settings_.silenceLimit;
     }
-    const bool near = distance(peer) == 0;
-    const Duration wait
-        = near ? turn(domainRotation_, settings_.domainPerPeriod) : turn(distantRotation_, settings_.remotePerPeriod);
-    return std::max(settings_.silenceLimit, missedTurns * wait);
+    const bool inOwnDomain = distance(peer) == 0;
+    const Duration period = inOwnDomain ? rotationPeriod(domainRotation_, settings_.domainPerPeriod)
+                                        : rotationPeriod(remoteRotation_, settings_.remotePerPeriod);
+    return std::max(settings_.silenceLimit, maxMissedTurns * period);
 }
 
-// A peer that has just come under watch was heard when its turn was, not as often as the short limit asks.
-Duration Membership::silenceOf(Incarnation incarnation, const Peer& peer, Instant now) const
+// Before the watch began, the peer's heartbeats came once per rotation, so that earlier silence may exceed the short
+// limit. Silence therefore counts from the start of the watch at the earliest.
+Duration Membership::silenceDuration(Incarnation incarnation, const Peer& peer, Instant now) const
 {
     Instant since = std::max(peer.lastHeard, timersFrom_);
-    if (const auto close = closeSince(incarnation)) {
-        since = std::max(since, *close);
+    if (const auto watchStart = everyPeriodSince(incarnation)) {
+        since = std::max(since, *watchStart);
     }
     return std::max(now - since, Duration {});
 }
 
-std::optional<Instant> Membership::closeSince(Incarnation incarnation) const
+std::optional<Instant> Membership::everyPeriodSince(Incarnation incarnation) const
 {
-    // Nothing is less than any moment.
+    // An empty optional compares less than any time.
     std::optional<Instant> since;
     if (const auto found = watched_.find(incarnation); found != watched_.end()) {
         since = found->second;
     }
-    for (const Chosen* chosen : { &witness_, &remoteReplica_, &secondRemoteReplica_ }) {
-        if (chosen->peer == incarnation) {
-            since = std::max(since, std::optional(chosen->since));
+    for (const ElectedPeer* elected : { &witness_, &remoteReplica_, &secondRemoteReplica_ }) {
+        if (elected->peer == incarnation) {
+            since = std::max(since, std::optional(elected->since));
         }
     }
     return since;
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-    // Replaced and retired incarnations remembered: nine days of 1,800 restarts a day.
-    constexpr std::size_t overKept = 16'384;
+    // Number of replaced and retired incarnations remembered: nine days at 1,800 restarts a day.
+    constexpr std::size_t maxEndedRemembered = 16'384;
 
-    // Heartbeat periods after which a peer that was not heard is taken not to be there.
+    // Heartbeat periods after the first tick in which every live peer should have sent a heartbeat.
     constexpr int periodsToSettle = 3;
 
 } // namespace
@@ -27,65 +27,66 @@
 void Membership::onHeartbeat(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
 {
     const bool own = from == settings_.self || address == settings_.address;
-    if (own || from == Incarnation {} || over_.contains(from)) {
+    if (own || from == Incarnation {} || ended_.contains(from)) {
         return;
     }
     if (const auto found = peers_.find(from); found != peers_.end()) {
         if (found->second.address == address) {
-            refresh(from, facts, now);
+            updatePeer(from, facts, now);
         }
         return;
     }
-    if (current_.contains(address)) {
-        contest(from, address, facts, now);
+    if (incarnationByAddress_.contains(address)) {
+        contestAddress(from, address, facts, now);
         return;
     }
-    join(from, address, facts, now);
+    addPeer(from, address, facts, now);
 }
 
-void Membership::join(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
+void Membership::addPeer(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
 {
     peers_[from] = Peer { address, facts, PeerState::Alive, now, {} };
-    current_[address] = from;
+    incarnationByAddress_[address] = from;
     candidates_.erase(address);
     events_.emplace_back(Joined { from, address, facts.domain });
     refreshRotations();
-    answer(address, now);
+    scheduleAnswer(address, now);
 }
 
-// A heartbeat of an old life may arrive after the first one of the new life, when this router never heard the old one.
-// One would notice a live peer that is ignored until its next restart. So the newcomer has to speak again, a period
-// later, with no word of the incumbent between: a dead process doesn't. A silent incumbent needs no such proof.
-void Membership::contest(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
+// A late heartbeat of a peer's previous incarnation may arrive after the first heartbeat of its present one. If the
+// late one replaced the present incarnation, the live peer would be ignored until its next restart. So an unknown
+// incarnation replaces the incumbent only after a second heartbeat at least one period later, with none from the
+// incumbent in between: a dead process sends no second heartbeat. A suspected incumbent is replaced immediately.
+void Membership::contestAddress(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
 {
-    const Incarnation incumbent = current_.at(address);
+    const Incarnation incumbent = incarnationByAddress_.at(address);
     const bool silent = peers_.at(incumbent).state == PeerState::Suspected;
     const auto found = candidates_.find(address);
-    const bool again = found != candidates_.end() && found->second.incarnation == from
+    const bool confirmed = found != candidates_.end() && found->second.incarnation == from
         && now - found->second.firstHeard >= settings_.heartbeatPeriod;
-    if (silent || again) {
-        replace(incumbent, now);
-        join(from, address, facts, now);
+    if (silent || confirmed) {
+        replaceIncumbent(incumbent, now);
+        addPeer(from, address, facts, now);
         return;
     }
     if (found == candidates_.end() || found->second.incarnation != from) {
         candidates_[address] = Candidate { from, now };
     }
-    answer(address, now);
+    scheduleAnswer(address, now);
 }
 
-void Membership::replace(Incarnation incumbent, Instant now)
+void Membership::replaceIncumbent(Incarnation incumbent, Instant now)
 {
     const Peer peer = peers_.at(incumbent);
     if (peer.state == PeerState::Alive) {
         events_.emplace_back(
-            Suspected { incumbent, peer.address, SuspicionCause::Replaced, silenceOf(incumbent, peer, now) });
+            Suspected { incumbent, peer.address, SuspicionCause::Replaced, silenceDuration(incumbent, peer, now) });
     }
-    remember(incumbent);
-    drop(incumbent);
+    rememberEnded(incumbent);
+    removePeer(incumbent);
 }
 
-void Membership::refresh(Incarnation from, const HeartbeatFacts& facts, Instant now)
+void Membership::updatePeer(Incarnation from, const HeartbeatFacts& facts, Instant now)
 {
     Peer& peer = peers_.at(from);
     const bool moved = peer.facts.domain != facts.domain || peer.facts.region != facts.region;
@@ -99,8 +100,8 @@
         peer.state = PeerState::Alive;
         events_.emplace_back(Recovered { from, peer.address });
     }
-    if (!inDomain(peer.address)) {
-        answer(peer.address, now);
+    if (!isInOwnDomain(peer.address)) {
+        scheduleAnswer(peer.address, now);
     }
 }
 
@@ -120,23 +121,23 @@
 
 void Membership::retire(Incarnation incarnation)
 {
-    remember(incarnation);
-    drop(incarnation);
+    rememberEnded(incarnation);
+    removePeer(incarnation);
 }
 
-void Membership::remember(Incarnation over)
+void Membership::rememberEnded(Incarnation ended)
 {
-    if (!over_.insert(over).second) {
+    if (!ended_.insert(ended).second) {
         return;
     }
-    overOrder_.push_back(over);
-    if (overOrder_.size() > overKept) {
-        over_.erase(overOrder_.front());
-        overOrder_.pop_front();
+    endedOrder_.push_back(ended);
+    if (endedOrder_.size() > maxEndedRemembered) {
+        ended_.erase(endedOrder_.front());
+        endedOrder_.pop_front();
     }
 }
 
-void Membership::drop(Incarnation incarnation)
+void Membership::removePeer(Incarnation incarnation)
 {
     const auto found = peers_.find(incarnation);
     if (found == peers_.end()) {
@@ -144,7 +145,7 @@
     }
     const PeerAddress address = found->second.address;
     events_.emplace_back(Left { incarnation, address });
-    current_.erase(address);
+    incarnationByAddress_.erase(address);
     candidates_.erase(address);
     peers_.erase(found);
     refreshRotations();
@@ -162,10 +163,10 @@
 
 MembershipActions Membership::tick(Instant now)
 {
-    noticePause(now);
-    suspectSilent(now);
-    forgetOld(now);
-    settle(now);
+    detectOwnPause(now);
+    suspectSilentPeers(now);
+    forgetUnlistedPeers(now);
+    updateSettled(now);
     chooseWitness(now);
     chooseRemoteReplicas(now);
     MembershipActions actions;
@@ -175,9 +176,10 @@
     return actions;
 }
 
-// A VM that was paused wakes with heartbeats of its peers unread, or dropped. By the times it would suspect everybody
-// and seal all that it witnesses, though the silence was its own. So a gap in its own ticks starts all timers anew.
-void Membership::noticePause(Instant now)
+// After a pause of this VM, its peers' heartbeats are unread or dropped. Going by their last heartbeats, this router
+// would suspect every peer and seal every witnessed grant, though only its own process was paused. So a gap between
+// ticks restarts all silence timers.
+void Membership::detectOwnPause(Instant now)
 {
     if (!firstTick_) {
         firstTick_ = now;
@@ -189,14 +191,14 @@
     lastTick_ = now;
 }
 
-void Membership::suspectSilent(Instant now)
+void Membership::suspectSilentPeers(Instant now)
 {
     for (auto& [incarnation, peer] : peers_) {
         if (peer.state != PeerState::Alive) {
             continue;
         }
-        const Duration silence = silenceOf(incarnation, peer, now);
-        if (silence <= limitFor(incarnation, peer)) {
+        const Duration silence = silenceDuration(incarnation, peer, now);
+        if (silence <= silenceLimitFor(incarnation, peer)) {
             continue;
         }
         peer.state = PeerState::Suspected;
@@ -205,34 +207,34 @@
     }
 }
 
-void Membership::forgetOld(Instant now)
+void Membership::forgetUnlistedPeers(Instant now)
 {
-    std::vector<Incarnation> old;
+    std::vector<Incarnation> unlisted;
     for (const auto& [incarnation, peer] : peers_) {
         const bool silent = peer.state == PeerState::Suspected && now - peer.suspectedAt > settings_.forgetAfter;
-        // Without any list there is no sign that the VM is gone: it may be a long partition.
+        // Without a list of VMs nothing shows that the VM is gone; the cause may be a long network partition.
         if (silent && !listed_.empty() && !listed_.contains(peer.address)) {
-            old.push_back(incarnation);
+            unlisted.push_back(incarnation);
         }
     }
-    for (const Incarnation incarnation : old) {
-        drop(incarnation);
+    for (const Incarnation incarnation : unlisted) {
+        removePeer(incarnation);
     }
 }
 
-void Membership::settle(Instant now)
+void Membership::updateSettled(Instant now)
 {
     if (settled_) {
         return;
     }
     settled_ = now - *firstTick_ >= periodsToSettle * settings_.heartbeatPeriod;
     for (const auto& [incarnation, peer] : peers_) {
-        settled_ = settled_ || (distance(peer) == 0 && fitForDuty(peer));
+        settled_ = settled_ || (distance(peer) == 0 && isEligible(peer));
     }
 }
 
-// Each change of witness costs a record of the ledger for every grant, so a fit witness stays, even when a peer that
-// ranks higher comes back. Only one from another domain gives way to one of the own.
+// Each change of witness costs one ledger record per grant, so an eligible witness stays even when a peer of higher
+// rank returns. Only a witness at a greater distance is replaced by a nearer peer.
 void Membership::chooseWitness(Instant now)
 {
     std::optional<Incarnation> best;
@@ -242,40 +244,41 @@
             break;
         }
     }
-    const auto& present = witness_.peer;
-    if (best && present && mayWitness(*present) && distance(peers_.at(*present)) <= distance(peers_.at(*best))) {
+    const auto& current = witness_.peer;
+    if (best && current && mayWitness(*current) && distance(peers_.at(*current)) <= distance(peers_.at(*best))) {
         return;
     }
-    witness_.choose(best, now);
+    witness_.setPeer(best, now);
 }
 
-void Membership::Chosen::choose(std::optional<Incarnation> other, Instant now)
+void Membership::ElectedPeer::setPeer(std::optional<Incarnation> newPeer, Instant now)
 {
-    if (peer != other) {
-        peer = other;
+    if (peer != newPeer) {
+        peer = newPeer;
         since = now;
     }
 }
 
-// A keeper that dies is silent for some seconds before it is suspected, and it may die with this failure domain. Bills
-// of those seconds would be lost but for a second one.
+// A failed remote replica is suspected only after some seconds, and may fail together with this failure domain. Without
+// a second remote replica, the bills of those seconds would be lost.
 void Membership::chooseRemoteReplicas(Instant now)
 {
     if (!settings_.remoteReplica) {
         return;
     }
-    const auto fit = [this](const Chosen& chosen) { return chosen.peer && mayKeepFromAfar(*chosen.peer); };
-    if (!fit(remoteReplica_)) {
+    const auto eligible
+        = [this](const ElectedPeer& elected) { return elected.peer && mayBeRemoteReplica(*elected.peer); };
+    if (!eligible(remoteReplica_)) {
         const std::vector<Incarnation> peers = nearestFirst();
-        const auto best = std::ranges::find_if(peers, [this](Incarnation peer) { return mayKeepFromAfar(peer); });
+        const auto best = std::ranges::find_if(peers, [this](Incarnation peer) { return mayBeRemoteReplica(peer); });
         const auto nearest = best == peers.end() ? std::nullopt : std::optional(*best);
-        remoteReplica_.choose(fit(secondRemoteReplica_) ? secondRemoteReplica_.peer : nearest, now);
+        remoteReplica_.setPeer(eligible(secondRemoteReplica_) ? secondRemoteReplica_.peer : nearest, now);
     }
     const std::optional<Incarnation> best = bestSecondRemoteReplica();
-    const bool stays = fit(secondRemoteReplica_) && secondRemoteReplica_.peer != remoteReplica_.peer
+    const bool stays = eligible(secondRemoteReplica_) && secondRemoteReplica_.peer != remoteReplica_.peer
         && secondRemoteReplicaCost(*secondRemoteReplica_.peer) <= secondRemoteReplicaCost(*best);
     if (!stays) {
-        secondRemoteReplica_.choose(best, now);
+        secondRemoteReplica_.setPeer(best, now);
     }
 }
 
@@ -283,16 +286,16 @@
 {
     std::optional<Incarnation> best;
     for (const Incarnation peer : nearestFirst()) {
-        const bool fit = peer != remoteReplica_.peer && mayKeepFromAfar(peer);
-        if (fit && (!best || secondRemoteReplicaCost(peer) < secondRemoteReplicaCost(*best))) {
+        const bool eligible = peer != remoteReplica_.peer && mayBeRemoteReplica(peer);
+        if (eligible && (!best || secondRemoteReplicaCost(peer) < secondRemoteReplicaCost(*best))) {
             best = peer;
         }
     }
     return best;
 }
 
-// Another region would cost each answer a way there and back, so a peer in the first keeper's domain is preferred to
-// it.
+// A second remote replica in another region would add an inter-region round trip to each answer, so a peer in the first
+// remote replica's failure domain is preferred to a peer in another region.
 std::pair<int, bool> Membership::secondRemoteReplicaCost(Incarnation peer) const
 {
     const Peer& candidate = peers_.at(peer);
--- a/src/membership/Queries.cpp
+++ b/src/membership/Queries.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Finalizer of SplitMix64: every bit of the input moves every bit of the result.
+    // Finalizer of SplitMix64: every input bit affects every output bit.
     [[nodiscard]] std::uint64_t mix(std::uint64_t value) noexcept
     {
         value += 0x9E3779B97F4A7C15U;
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// Rendezvous hashing: each pair has a rank of its own, so that witnesses and lenders spread over the peers, and the
-// loss of one moves only those who had it.
+// Rendezvous hashing: each pair of routers has its own rank. Witnesses and lenders thus spread over the peers, and the
+// loss of a peer affects only the routers that had chosen that peer.
 std::uint64_t Membership::rank(Incarnation incarnation) const
 {
     return mix(settings_.self.value() ^ mix(incarnation.value()));
@@ -32,16 +32,16 @@
     return peer.facts.region == settings_.region ? 1 : 2;
 }
 
-bool Membership::inDomain(const PeerAddress& address) const
+bool Membership::isInOwnDomain(const PeerAddress& address) const
 {
-    if (const auto current = current_.find(address); current != current_.end()) {
+    if (const auto current = incarnationByAddress_.find(address); current != incarnationByAddress_.end()) {
         return peers_.at(current->second).facts.domain == settings_.domain;
     }
     const auto listed = listed_.find(address);
     return listed != listed_.end() && listed->second.domain == settings_.domain;
 }
 
-bool Membership::fitForDuty(const Peer& peer) const
+bool Membership::isEligible(const Peer& peer) const
 {
     const auto listed = listed_.find(peer.address);
     const bool leaving = peer.facts.stopping || (listed != listed_.end() && listed->second.leaving);
@@ -51,23 +51,23 @@
 bool Membership::mayWitness(Incarnation incarnation) const
 {
     const auto found = peers_.find(incarnation);
-    if (found == peers_.end() || !fitForDuty(found->second)) {
+    if (found == peers_.end() || !isEligible(found->second)) {
         return false;
     }
     return distance(found->second) == 0 || settings_.witnessPolicy == WitnessPolicy::OtherDomainWhenAlone;
 }
 
-bool Membership::mayKeepFromAfar(Incarnation incarnation) const
+bool Membership::mayBeRemoteReplica(Incarnation incarnation) const
 {
     const auto found = peers_.find(incarnation);
-    return found != peers_.end() && fitForDuty(found->second) && distance(found->second) > 0;
+    return found != peers_.end() && isEligible(found->second) && distance(found->second) > 0;
 }
 
 bool Membership::knowsRemoteVms() const
 {
-    const auto listedBeyond = [this](const auto& entry) { return entry.second.domain != settings_.domain; };
-    const auto heardBeyond = [this](const auto& entry) { return distance(entry.second) > 0; };
-    return std::ranges::any_of(listed_, listedBeyond) || std::ranges::any_of(peers_, heardBeyond);
+    const auto isListedRemote = [this](const auto& entry) { return entry.second.domain != settings_.domain; };
+    const auto isRemotePeer = [this](const auto& entry) { return distance(entry.second) > 0; };
+    return std::ranges::any_of(listed_, isListedRemote) || std::ranges::any_of(peers_, isRemotePeer);
 }
 
 std::vector<Incarnation> Membership::nearestFirst() const
@@ -99,19 +99,19 @@
 std::vector<Incarnation> Membership::lenders() const
 {
     std::vector<Incarnation> lenders = nearestFirst();
-    std::erase_if(lenders, [this](Incarnation incarnation) { return !fitForDuty(peers_.at(incarnation)); });
+    std::erase_if(lenders, [this](Incarnation incarnation) { return !isEligible(peers_.at(incarnation)); });
     return lenders;
 }
 
-// What goes wrong with any word of a live peer: beyond the domain a word is as old as a whole rotation, 13 s among 81
-// routers. In an outage of all of them somebody's old word says that the log is in reach, so that routers wait for
-// draws, lend little and give back what nobody can draw any more. One notices by refusals with `log_in_reach` true
-// while every router's own `log` line says that it is not.
+// The last report of a live peer in another failure domain can be as old as a whole rotation, 13 s among 81 routers. If
+// reports of any age counted, some old report would still state that the log is reachable when all routers have lost
+// the log. Routers would then wait for draws, lend little and return tokens that no router can draw any more. The
+// symptom is refusals with `log_in_reach` true while every router's own `log` line says that the log is unreachable.
 std::optional<Incarnation> Membership::logReachablePeer() const
 {
     for (const Incarnation incarnation : nearestFirst()) {
         const Peer& peer = peers_.at(incarnation);
-        if (peer.facts.logReachable && lastTick_ - peer.lastHeard <= settings_.logWordLifetime) {
+        if (peer.facts.logReachable && lastTick_ - peer.lastHeard <= settings_.logReportLifetime) {
             return incarnation;
         }
     }
--- a/src/membership/Rotation.cpp
+++ b/src/membership/Rotation.cpp
@@ -20,8 +20,8 @@
 std::vector<PeerAddress> Rotation::next(std::size_t count)
 {
     std::vector<PeerAddress> taken;
-    const std::size_t most = std::min(count, order_.size());
-    for (std::size_t i = 0; i < most; ++i) {
+    const std::size_t takenCount = std::min(count, order_.size());
+    for (std::size_t i = 0; i < takenCount; ++i) {
         taken.push_back(order_.front());
         order_.push_back(order_.front());
         order_.pop_front();
--- a/tests/membership/MembershipTest.cpp
+++ b/tests/membership/MembershipTest.cpp
@@ -12,9 +12,9 @@
 
     using namespace std::chrono_literals;
 
-    const FailureDomain home { "regina-a" };
-    const FailureDomain away { "regina-b" };
-    const FailureDomain far { "lodz-a" };
+    const FailureDomain ownDomain { "regina-a" };
+    const FailureDomain otherDomain { "regina-b" };
+    const FailureDomain farDomain { "lodz-a" };
     const Region region { "sask-south" };
     const Region farRegion { "pl-central" };
     const Incarnation self { 1 };
@@ -28,20 +28,21 @@
             MembershipSettings settings;
             settings.self = self;
             settings.address = addressOf(1);
-            settings.domain = home;
+            settings.domain = ownDomain;
             settings.region = region;
             settings.seed = 7;
             return settings;
         }
 
-        void hear(Incarnation from, int vm, const FailureDomain& domain = home, bool stopping = false)
+        void receiveHeartbeat(Incarnation from, int vm, const FailureDomain& domain = ownDomain, bool stopping = false)
         {
-            const Region where = domain == far ? farRegion : region;
+            const Region where = domain == farDomain ? farRegion : region;
             membership_.onHeartbeat(from, addressOf(vm), HeartbeatFacts { domain, where, stopping, true }, now_);
         }
 
-        /** Lets time pass in ticks of 50 ms; `speakers` are heard in each period. */
-        std::vector<MembershipEvent> pass(Duration time, const std::vector<std::pair<Incarnation, int>>& speakers = {})
+        /** Advances time in ticks of 50 ms; `speakers` send a heartbeat in each period. */
+        std::vector<MembershipEvent> advance(
+            Duration time, const std::vector<std::pair<Incarnation, int>>& speakers = {})
         {
             std::vector<MembershipEvent> events;
             const Instant end = now_ + time;
@@ -49,15 +50,15 @@
                 now_ += 50ms;
                 if ((now_.time_since_epoch() % 500ms).count() == 0) {
                     for (const auto& [incarnation, vm] : speakers) {
-                        hear(incarnation, vm);
+                        receiveHeartbeat(incarnation, vm);
                     }
                 }
-                collect(events);
+                runTick(events);
             }
             return events;
         }
 
-        void collect(std::vector<MembershipEvent>& events)
+        void runTick(std::vector<MembershipEvent>& events)
         {
             const MembershipActions actions = membership_.tick(now_);
             events.insert(events.end(), actions.events.begin(), actions.events.end());
@@ -77,113 +78,113 @@
         std::map<PeerAddress, int> sent_;
     };
 
-    TEST_F(MembershipTest, SuspectsASilentPeerAndTakesItBack)
+    TEST_F(MembershipTest, SuspectsASilentPeerUntilItsNextHeartbeat)
     {
-        hear(Incarnation { 2 }, 2);
-        EXPECT_EQ(count<Suspected>(pass(2900ms)), 0U);
-        const auto events = pass(400ms);
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        EXPECT_EQ(count<Suspected>(advance(2900ms)), 0U);
+        const auto events = advance(400ms);
         ASSERT_EQ(count<Suspected>(events), 1U);
         EXPECT_FALSE(membership_.isAlive(Incarnation { 2 }));
-        hear(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 2 }, 2);
         EXPECT_TRUE(membership_.isAlive(Incarnation { 2 }));
-        EXPECT_EQ(count<Recovered>(pass(50ms)), 1U);
+        EXPECT_EQ(count<Recovered>(advance(50ms)), 1U);
     }
 
-    // Symptom: all grants of the domain are sealed at once, though every VM lives.
-    // Events: this VM is paused for a minute; it wakes, and its first tick comes before the heartbeats that wait.
-    // Cause: the silence was its own, but the timers took it for that of the peers.
-    TEST_F(MembershipTest, PausedVmSuspectsNobodyWhenItWakes)
+    // Guards against sealing all grants of the domain after a pause of this VM: the first tick after the pause comes
+    // before the queued heartbeats are read, so the silence timers would count the pause as silence of the peers.
+    TEST_F(MembershipTest, ResumedVmSuspectsNoPeerForItsOwnPause)
     {
-        hear(Incarnation { 2 }, 2);
-        hear(Incarnation { 3 }, 3);
-        (void)pass(100ms);
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 3 }, 3);
+        (void)advance(100ms);
         now_ += 60s;
         std::vector<MembershipEvent> events;
-        collect(events);
+        runTick(events);
         EXPECT_EQ(count<SelfPaused>(events), 1U);
         EXPECT_EQ(count<Suspected>(events), 0U);
-        // Those that were truly lost in the meantime are still noticed, by the usual limit.
-        events = pass(3500ms, { { Incarnation { 2 }, 2 } });
+        // A peer that failed during the pause is suspected after the usual limit.
+        events = advance(3500ms, { { Incarnation { 2 }, 2 } });
         EXPECT_EQ(count<Suspected>(events), 1U);
         EXPECT_TRUE(membership_.isAlive(Incarnation { 2 }));
         EXPECT_FALSE(membership_.isAlive(Incarnation { 3 }));
     }
 
-    TEST_F(MembershipTest, NewIncarnationEndsTheOldOneForGood)
+    TEST_F(MembershipTest, NewIncarnationReplacesThePreviousOneForGood)
     {
-        hear(Incarnation { 2 }, 2);
-        hear(Incarnation { 22 }, 2);
-        EXPECT_TRUE(membership_.isAlive(Incarnation { 2 })) << "one word may be late";
-        const auto events = pass(1s, { { Incarnation { 22 }, 2 } });
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 22 }, 2);
+        EXPECT_TRUE(membership_.isAlive(Incarnation { 2 })) << "a single heartbeat may be a late one";
+        const auto events = advance(1s, { { Incarnation { 22 }, 2 } });
         EXPECT_EQ(count<Suspected>(events), 1U);
         EXPECT_EQ(count<Left>(events), 1U);
         EXPECT_TRUE(membership_.isAlive(Incarnation { 22 }));
         EXPECT_EQ(membership_.addressOf(Incarnation { 2 }), std::nullopt);
-        hear(Incarnation { 2 }, 2);
-        EXPECT_EQ(count<Joined>(pass(600ms, { { Incarnation { 2 }, 2 }, { Incarnation { 22 }, 2 } })), 0U);
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        EXPECT_EQ(count<Joined>(advance(600ms, { { Incarnation { 2 }, 2 }, { Incarnation { 22 }, 2 } })), 0U);
         EXPECT_FALSE(membership_.isAlive(Incarnation { 2 }));
     }
 
-    // Symptom: a live peer is ignored until its next restart.
-    // Events: a router restarts; its new life is heard first, then one late heartbeat of the old one, never heard
-    // before. Cause: whatever was unknown counted as the newer one.
-    TEST_F(MembershipTest, LateHeartbeatOfAnOldLifeDoesNotEndTheNewOne)
+    // Guards against ignoring a live peer until its next restart: after a restart, a late heartbeat of the previous
+    // incarnation, until then unknown here, arrives after the first one of the new incarnation and would replace the
+    // new incarnation.
+    TEST_F(MembershipTest, LateHeartbeatOfAPreviousIncarnationDoesNotReplaceTheNewOne)
     {
-        hear(Incarnation { 22 }, 2);
-        hear(Incarnation { 2 }, 2);
-        (void)pass(700ms, { { Incarnation { 22 }, 2 } });
-        hear(Incarnation { 2 }, 2);
-        (void)pass(700ms, { { Incarnation { 22 }, 2 } });
+        receiveHeartbeat(Incarnation { 22 }, 2);
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        (void)advance(700ms, { { Incarnation { 22 }, 2 } });
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        (void)advance(700ms, { { Incarnation { 22 }, 2 } });
         EXPECT_TRUE(membership_.isAlive(Incarnation { 22 }));
         EXPECT_FALSE(membership_.isAlive(Incarnation { 2 }));
     }
 
-    TEST_F(MembershipTest, RetiredByTheLedgerNeverReturns)
+    TEST_F(MembershipTest, HeartbeatOfARetiredIncarnationIsIgnored)
     {
-        hear(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 2 }, 2);
         membership_.retire(Incarnation { 2 });
-        EXPECT_EQ(count<Left>(pass(50ms)), 1U);
-        hear(Incarnation { 2 }, 2);
+        EXPECT_EQ(count<Left>(advance(50ms)), 1U);
+        receiveHeartbeat(Incarnation { 2 }, 2);
         EXPECT_FALSE(membership_.isAlive(Incarnation { 2 }));
     }
 
-    TEST_F(MembershipTest, WitnessIsOfTheOwnDomainAndStays)
+    TEST_F(MembershipTest, WitnessIsInTheOwnDomainAndStays)
     {
-        hear(Incarnation { 5 }, 5, away);
-        (void)pass(50ms);
-        ASSERT_EQ(membership_.witness(), Incarnation { 5 }) << "alone in its domain";
-        hear(Incarnation { 2 }, 2);
-        (void)pass(50ms);
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
+        (void)advance(50ms);
+        ASSERT_EQ(membership_.witness(), Incarnation { 5 }) << "no other VM in the own domain";
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        (void)advance(50ms);
         ASSERT_EQ(membership_.witness(), Incarnation { 2 });
         for (int vm = 10; vm < 30; ++vm) {
-            hear(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
+            receiveHeartbeat(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
         }
-        (void)pass(50ms);
-        EXPECT_EQ(membership_.witness(), Incarnation { 2 }) << "a change costs a record for each grant";
-        hear(Incarnation { 2 }, 2, home, true);
-        (void)pass(50ms);
+        (void)advance(50ms);
+        EXPECT_EQ(membership_.witness(), Incarnation { 2 }) << "a change of witness costs one record per grant";
+        receiveHeartbeat(Incarnation { 2 }, 2, ownDomain, true);
+        (void)advance(50ms);
         ASSERT_TRUE(membership_.witness());
-        EXPECT_NE(*membership_.witness(), Incarnation { 2 }) << "it is stopping";
+        EXPECT_NE(*membership_.witness(), Incarnation { 2 }) << "the previous witness is stopping";
     }
 
-    TEST_F(MembershipTest, PolicyMayForbidAWitnessElsewhere)
+    TEST_F(MembershipTest, OwnDomainOnlyPolicyAllowsNoRemoteWitness)
     {
-        MembershipSettings alone = settings();
-        alone.witnessPolicy = WitnessPolicy::OwnDomainOnly;
-        Membership membership { alone };
-        membership.onHeartbeat(Incarnation { 5 }, addressOf(5), HeartbeatFacts { away, region, false, true }, now_);
+        MembershipSettings ownDomainOnly = settings();
+        ownDomainOnly.witnessPolicy = WitnessPolicy::OwnDomainOnly;
+        Membership membership { ownDomainOnly };
+        membership.onHeartbeat(
+            Incarnation { 5 }, addressOf(5), HeartbeatFacts { otherDomain, region, false, true }, now_);
         (void)membership.tick(now_);
         EXPECT_EQ(membership.witness(), std::nullopt);
     }
 
-    TEST_F(MembershipTest, LeavingVmsGetNoDuty)
+    TEST_F(MembershipTest, LeavingVmsAreNeitherWitnessNorLender)
     {
-        hear(Incarnation { 2 }, 2);
-        hear(Incarnation { 3 }, 3);
-        membership_.onVmList({ { addressOf(1), home, region, true }, { addressOf(2), home, region, true },
-                                 { addressOf(3), home, region, false } },
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 3 }, 3);
+        membership_.onVmList({ { addressOf(1), ownDomain, region, true }, { addressOf(2), ownDomain, region, true },
+                                 { addressOf(3), ownDomain, region, false } },
             now_);
-        (void)pass(50ms);
+        (void)advance(50ms);
         EXPECT_EQ(membership_.witness(), Incarnation { 3 });
         EXPECT_EQ(membership_.lenders(), std::vector { Incarnation { 3 } });
         EXPECT_TRUE(membership_.selfLeaving());
@@ -191,160 +192,164 @@
 
     TEST_F(MembershipTest, OrdersPeersByDistance)
     {
-        hear(Incarnation { 7 }, 7, far);
-        hear(Incarnation { 5 }, 5, away);
-        hear(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 7 }, 7, farDomain);
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
+        receiveHeartbeat(Incarnation { 2 }, 2);
         const std::vector expected { Incarnation { 2 }, Incarnation { 5 }, Incarnation { 7 } };
         EXPECT_EQ(membership_.alivePeers(), expected);
         EXPECT_EQ(membership_.lenders(), expected);
         EXPECT_EQ(membership_.logReachablePeer(), Incarnation { 2 });
     }
 
-    // Symptom: all routers of a large fleet lost the log, and each went on as if it were in reach: nobody lent.
-    // Events: a peer beyond the domain says that it reaches the log; the log is lost; that peer's next turn to speak
-    // comes seconds later.
-    // Cause: the last word of a live peer counted, however old.
-    TEST_F(MembershipTest, AnOldWordThatTheLogIsInReachIsNotBelieved)
+    // Guards against routers of a large fleet that do not lend during a log outage because each takes the log for
+    // reachable: a peer of another domain reports the log as reachable, the outage begins, and the peer's next
+    // heartbeat by rotation comes seconds later. The failure occurs when a live peer's last report counts whatever its
+    // age.
+    TEST_F(MembershipTest, OutdatedReportThatTheLogIsReachableIsIgnored)
     {
-        hear(Incarnation { 5 }, 5, away);
-        (void)pass(900ms);
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
+        (void)advance(900ms);
         EXPECT_EQ(membership_.logReachablePeer(), Incarnation { 5 });
-        (void)pass(300ms);
+        (void)advance(300ms);
         EXPECT_TRUE(membership_.isAlive(Incarnation { 5 }));
         EXPECT_EQ(membership_.logReachablePeer(), std::nullopt);
-        hear(Incarnation { 5 }, 5, away);
-        (void)pass(50ms);
-        EXPECT_EQ(membership_.logReachablePeer(), Incarnation { 5 }) << "it has said so again";
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
+        (void)advance(50ms);
+        EXPECT_EQ(membership_.logReachablePeer(), Incarnation { 5 })
+            << "the peer has reported the log as reachable again";
     }
 
-    TEST_F(MembershipTest, CostDoesNotGrowWithTheFleet)
+    TEST_F(MembershipTest, HeartbeatsPerPeriodDoNotGrowWithTheFleet)
     {
         std::vector<ListedVm> vms;
         for (int vm = 1; vm <= 21; ++vm) {
-            vms.push_back({ addressOf(vm), home, region, false });
+            vms.push_back({ addressOf(vm), ownDomain, region, false });
         }
         for (int vm = 22; vm <= 250; ++vm) {
-            vms.push_back({ addressOf(vm), far, farRegion, false });
+            vms.push_back({ addressOf(vm), farDomain, farRegion, false });
         }
         membership_.onVmList(vms, now_);
-        (void)pass(10s);
+        (void)advance(10s);
         int inDomain = 0;
-        int beyond = 0;
+        int remote = 0;
         for (const auto& [address, times] : sent_) {
             (std::find_if(vms.begin(), vms.begin() + 21, [&](const ListedVm& vm) { return vm.address == address; })
                         != vms.begin() + 21
                     ? inDomain
-                    : beyond)
+                    : remote)
                 += times;
         }
         EXPECT_EQ(inDomain, 20 * 6);
-        EXPECT_EQ(beyond, 20 * 2);
+        EXPECT_EQ(remote, 20 * 2);
     }
 
-    TEST_F(MembershipTest, ASmallDomainHearsAllItsPeersInEachPeriod)
+    TEST_F(MembershipTest, AllPeersOfASmallDomainGetAHeartbeatInEachPeriod)
     {
         for (int vm = 2; vm <= 7; ++vm) {
-            hear(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
+            receiveHeartbeat(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
         }
-        (void)pass(50ms);
+        (void)advance(50ms);
         sent_.clear();
-        (void)pass(5s);
+        (void)advance(5s);
         for (int vm = 2; vm <= 7; ++vm) {
             EXPECT_EQ(sent_[addressOf(vm)], 10);
         }
     }
 
-    // In a domain of 21 most peers speak every other second; the two that matter for money are noticed as soon as ever.
-    TEST_F(MembershipTest, InALargeDomainWitnessAndHolderKeepTheShortLimit)
+    // In a domain of 21 VMs most peers send a heartbeat every other second. The witness and a watched grant holder, on
+    // which tokens depend, are still suspected after the short limit.
+    TEST_F(MembershipTest, InALargeDomainWitnessAndWatchedHolderKeepTheShortLimit)
     {
         for (int vm = 2; vm <= 21; ++vm) {
-            hear(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
+            receiveHeartbeat(Incarnation { static_cast<std::uint64_t>(vm) }, vm);
         }
-        (void)pass(50ms);
+        (void)advance(50ms);
         const Incarnation witness = *membership_.witness();
         const Incarnation holder { witness == Incarnation { 2 } ? 3U : 2U };
         membership_.setWatched({ holder }, now_);
-        EXPECT_EQ(count<Suspected>(pass(2900ms)), 0U);
-        (void)pass(200ms);
+        EXPECT_EQ(count<Suspected>(advance(2900ms)), 0U);
+        (void)advance(200ms);
         EXPECT_FALSE(membership_.isAlive(witness));
         EXPECT_FALSE(membership_.isAlive(holder));
-        EXPECT_EQ(membership_.counts().alive, 18U) << "the others have missed a turn or two";
+        EXPECT_EQ(membership_.counts().alive, 18U)
+            << "the other peers have missed one or two heartbeats of the rotation";
         EXPECT_GE(sent_[addressOf(static_cast<int>(holder.value()))], 6);
     }
 
-    // Symptom: peers of other domains are suspected and recover, over and over.
-    // Events: with hundreds of them, each speaks once in a rotation of many seconds.
-    // Cause: they were judged by the limit of the own domain, whose peers speak twice a second.
-    TEST_F(MembershipTest, DistantPeersAreJudgedByTheRotation)
+    // Guards against suspecting and recovering peers of other domains repeatedly: with hundreds of such peers, each
+    // sends one heartbeat per rotation of many seconds. The silence limit of the own domain's peers, which send two
+    // heartbeats a second, is too short for them.
+    TEST_F(MembershipTest, SilenceLimitOfRemotePeersFollowsTheRotation)
     {
         for (int vm = 22; vm <= 221; ++vm) {
-            hear(Incarnation { static_cast<std::uint64_t>(vm) }, vm, far);
+            receiveHeartbeat(Incarnation { static_cast<std::uint64_t>(vm) }, vm, farDomain);
         }
-        hear(Incarnation { 2 }, 2);
-        EXPECT_EQ(count<Suspected>(pass(50s, { { Incarnation { 2 }, 2 } })), 0U) << "a rotation over 200 takes 50 s";
-        EXPECT_EQ(count<Suspected>(pass(110s, { { Incarnation { 2 }, 2 } })), 200U) << "three turns missed";
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        EXPECT_EQ(count<Suspected>(advance(50s, { { Incarnation { 2 }, 2 } })), 0U) << "a rotation over 200 takes 50 s";
+        EXPECT_EQ(count<Suspected>(advance(110s, { { Incarnation { 2 }, 2 } })), 200U)
+            << "three heartbeats of the rotation missed";
     }
 
-    TEST_F(MembershipTest, AWatchedDistantPeerGetsTheShortLimitFromThenOn)
+    TEST_F(MembershipTest, AWatchedRemotePeerGetsTheShortLimitFromTheStartOfTheWatch)
     {
         for (int vm = 22; vm <= 121; ++vm) {
-            hear(Incarnation { static_cast<std::uint64_t>(vm) }, vm, far);
+            receiveHeartbeat(Incarnation { static_cast<std::uint64_t>(vm) }, vm, farDomain);
         }
-        hear(Incarnation { 2 }, 2);
+        receiveHeartbeat(Incarnation { 2 }, 2);
         const std::vector<std::pair<Incarnation, int>> witness { { Incarnation { 2 }, 2 } };
-        (void)pass(5s, witness);
+        (void)advance(5s, witness);
         membership_.setWatched({ Incarnation { 30 } }, now_);
-        EXPECT_EQ(count<Suspected>(pass(2900ms, witness)), 0U);
-        EXPECT_EQ(count<Suspected>(pass(300ms, witness)), 1U);
+        EXPECT_EQ(count<Suspected>(advance(2900ms, witness)), 0U);
+        EXPECT_EQ(count<Suspected>(advance(300ms, witness)), 1U);
         EXPECT_FALSE(membership_.isAlive(Incarnation { 30 }));
         EXPECT_GE(sent_[addressOf(30)], 6);
     }
 
-    // A witness beyond the domain that died unnoticed, its turn in the rotation being long, is found out by the short
-    // limit and replaced.
-    TEST_F(MembershipTest, ADeadWitnessBeyondTheDomainIsReplaced)
+    // The short silence limit also holds for a witness in another domain, whatever the length of the rotation: a failed
+    // witness is suspected within that limit and replaced.
+    TEST_F(MembershipTest, AFailedWitnessInAnotherDomainIsReplaced)
     {
-        hear(Incarnation { 22 }, 22, away);
-        hear(Incarnation { 23 }, 23, away);
-        (void)pass(50ms);
+        receiveHeartbeat(Incarnation { 22 }, 22, otherDomain);
+        receiveHeartbeat(Incarnation { 23 }, 23, otherDomain);
+        (void)advance(50ms);
         const Incarnation first = *membership_.witness();
         const Incarnation other { first == Incarnation { 22 } ? 23U : 22U };
         for (int i = 0; i < 8; ++i) {
-            hear(other, static_cast<int>(other.value()), away);
-            (void)pass(500ms);
+            receiveHeartbeat(other, static_cast<int>(other.value()), otherDomain);
+            (void)advance(500ms);
         }
         EXPECT_FALSE(membership_.isAlive(first));
         EXPECT_EQ(membership_.witness(), other);
     }
 
-    TEST_F(MembershipTest, AnswersAHeartbeatFromBeyondOnceAndNoAnswerToAnAnswer)
+    TEST_F(MembershipTest, AnswersAHeartbeatFromAnotherDomainOnceAndNeverAnAnswer)
     {
-        std::vector<ListedVm> vms { { addressOf(5), away, region, false } };
+        std::vector<ListedVm> vms { { addressOf(5), otherDomain, region, false } };
         for (int vm = 22; vm <= 121; ++vm) {
-            vms.push_back({ addressOf(vm), far, farRegion, false });
+            vms.push_back({ addressOf(vm), farDomain, farRegion, false });
         }
         membership_.onVmList(vms, now_);
-        hear(Incarnation { 5 }, 5, away);
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
         std::vector<MembershipEvent> events;
-        collect(events);
+        runTick(events);
         EXPECT_EQ(sent_[addressOf(5)], 1);
         now_ += 5ms;
-        hear(Incarnation { 5 }, 5, away);
-        collect(events);
+        receiveHeartbeat(Incarnation { 5 }, 5, otherDomain);
+        runTick(events);
         EXPECT_EQ(sent_[addressOf(5)], 1);
     }
 
     TEST_F(MembershipTest, ForgetsASilentPeerOnlyWhenThePlatformNoLongerListsIt)
     {
-        hear(Incarnation { 2 }, 2);
-        membership_.onVmList({ { addressOf(2), home, region, false } }, now_);
-        EXPECT_EQ(count<Left>(pass(200s)), 0U);
-        membership_.onVmList({ { addressOf(3), home, region, false } }, now_);
-        EXPECT_EQ(count<Left>(pass(100ms)), 1U);
+        receiveHeartbeat(Incarnation { 2 }, 2);
+        membership_.onVmList({ { addressOf(2), ownDomain, region, false } }, now_);
+        EXPECT_EQ(count<Left>(advance(200s)), 0U);
+        membership_.onVmList({ { addressOf(3), ownDomain, region, false } }, now_);
+        EXPECT_EQ(count<Left>(advance(100ms)), 1U);
         EXPECT_EQ(membership_.addressOf(Incarnation { 2 }), std::nullopt);
     }
 
-    TEST_F(MembershipTest, TriesSeedsBeforeTheListIsRead)
+    TEST_F(MembershipTest, SendsHeartbeatsToSeedsBeforeTheListIsRead)
     {
         MembershipSettings fresh = settings();
         fresh.seeds = { addressOf(1), addressOf(2), addressOf(3), addressOf(4) };
@@ -361,13 +366,13 @@
     TEST_F(MembershipTest, WitnessesSpreadOverTheDomain)
     {
         std::map<Incarnation, int> chosen;
-        for (std::uint64_t me = 100; me < 400; ++me) {
-            MembershipSettings one = settings();
-            one.self = Incarnation { me };
-            Membership membership { one };
+        for (std::uint64_t ownId = 100; ownId < 400; ++ownId) {
+            MembershipSettings routerSettings = settings();
+            routerSettings.self = Incarnation { ownId };
+            Membership membership { routerSettings };
             for (std::uint64_t peer = 2; peer < 12; ++peer) {
                 membership.onHeartbeat(Incarnation { peer }, addressOf(static_cast<int>(peer)),
-                    HeartbeatFacts { home, region, false, true }, now_);
+                    HeartbeatFacts { ownDomain, region, false, true }, now_);
             }
             (void)membership.tick(now_);
             ++chosen[*membership.witness()];
