--- a/include/swiftlift/fleet/BackendServer.h
+++ b/include/swiftlift/fleet/BackendServer.h
@@ -6,24 +6,26 @@
 
 namespace swiftlift::fleet {
 
+/** @brief State in which a backend server registers itself. */
 enum class ServerState : std::uint8_t {
+    /** Accepts new requests. */
     Ready,
-    /** It ends what it has; it is given nothing new. */
+    /** Completes its requests in flight and gets no new ones. */
     Leaving,
 };
 
-/** A backend server as it has registered itself. */
+/** @brief A backend server as registered by itself. */
 struct BackendServer {
     BackendId id;
     /**
-     * Milliseconds of Unix time at which its present life began: a server may start again under its id, and then holds
-     * and knows nothing of before. 0: it does not say.
+     * Start of the server's present instance, in milliseconds of Unix time; 0: not reported. A server may restart under
+     * the same id; the new instance has none of the previous instance's requests and caches.
      */
     std::uint64_t startedAt = 0;
     BackendAddress address;
     ServiceName service;
     FailureDomain domain;
-    /** Requests it runs at once. */
+    /** Number of requests that the server runs concurrently. */
     std::uint32_t slots = 1;
     ServerState state = ServerState::Ready;
 
--- a/include/swiftlift/fleet/FleetCodec.h
+++ b/include/swiftlift/fleet/FleetCodec.h
@@ -10,7 +10,11 @@
 
 namespace swiftlift::fleet {
 
-/** How whoever runs the fleet writes its configuration and its backend servers down. Pure: texts in, values out. */
+/**
+ * @brief Parser of the operator's format for the fleet configuration and for backend server registrations.
+ *
+ * Results depend on the arguments only; implementations have no side effects.
+ */
 class FleetCodec {
 public:
     FleetCodec() = default;
@@ -19,17 +23,19 @@
     FleetCodec& operator=(const FleetCodec&) = delete;
 
     /**
+     * @brief Parses a configuration.
      * @param text The whole configuration.
-     * @param findings Takes all that is wrong, with its place.
-     * @return The configuration; nothing when anything was found.
+     * @param findings Receives every error, with its position in the text.
+     * @return The configuration; empty when there are errors.
      */
     [[nodiscard]] virtual std::optional<FleetConfig> config(std::string_view text, Findings& findings) const = 0;
 
     /**
+     * @brief Parses the registration of a backend server.
      * @param id The backend server's id.
-     * @param text What it says of itself.
-     * @param findings Takes all that is wrong, with its place.
-     * @return The backend server; nothing when anything was found.
+     * @param text The registration that the backend server wrote.
+     * @param findings Receives every error, with its position in the text.
+     * @return The backend server; empty when there are errors.
      */
     [[nodiscard]] virtual std::optional<BackendServer> server(
         const std::string& id, std::string_view text, Findings& findings) const = 0;
--- a/include/swiftlift/fleet/FleetConfig.h
+++ b/include/swiftlift/fleet/FleetConfig.h
@@ -12,86 +12,88 @@
 
 namespace swiftlift::fleet {
 
-/** What an answer consists of. */
+/** @brief Form of an answer. */
 enum class AnswerKind : std::uint8_t {
-    /** One body, passed on when it has come whole. */
+    /** A single body, forwarded once it has been received completely. */
     Whole,
-    /** Events with rising ids, passed on as they come. */
+    /** Events with ascending ids, each forwarded on arrival. */
     Events,
 };
 
-/** One of the services that share a route's requests. */
+/** @brief A service that receives a share of a route's requests, in proportion to its weight. */
 struct Target {
     ServiceName service;
     std::uint32_t weight = 1;
 };
 
-/** Where requests of one host and path go, and how they may be treated. */
+/** @brief Destination of the requests for a host and path prefix, and the rules for handling these requests. */
 struct Route {
     RouteName name;
     std::string host;
     /** Begins and ends with a slash. */
     std::string pathPrefix;
     AnswerKind answer = AnswerKind::Whole;
-    /** A request may run more than once. */
+    /** Whether a request may be executed more than once. */
     bool idempotent = false;
-    /** An answer that broke off may be taken up by another backend server, after its last event. */
+    /** Whether another backend server may continue an interrupted answer after the last event received. */
     bool resumable = false;
-    /** Needs no key. */
+    /** Whether callers need no key. */
     bool open = false;
-    /** Requests carry prompts whose shared parts the engines keep. */
+    /** Whether requests carry prompts with common prefixes, which engines cache. */
     bool sharesPrefixes = false;
-    /** After it the caller has to have a final answer. */
+    /** Time after which the caller must have received a final answer. */
     Duration timeLimit = std::chrono::seconds(30);
-    /** To the whole answer, or to its first event. */
+    /** Target time to the complete answer, or to the first event of an answer of events. */
     Duration objective = std::chrono::seconds(1);
-    /** Longest pause between two events that is still on time. */
+    /** Target for the time between two consecutive events. */
     Duration pauseObjective = std::chrono::seconds(1);
-    /** Backend servers on which one request may run. */
+    /** Maximum number of backend servers on which one request may run. */
     std::uint32_t maxServers = 1;
-    /** 0 is the most urgent. */
+    /** 0 is the most urgent. Accounts may override this value. */
     std::uint32_t urgency = 0;
     std::vector<Target> targets;
 };
 
-/** What all model engines of a service have in common. */
+/** @brief Properties common to all model engines of a service. */
 struct EngineFacts {
-    /** Requests in one batch. */
+    /** Maximum number of requests in a batch. */
     std::uint32_t slots = 1;
-    /** Output tokens in one event, the last one of an answer excepted. */
+    /** Output tokens per event; the last event of an answer may have fewer. */
     std::uint32_t tokensPerEvent = 1;
 };
 
-/** A service: backend servers that answer alike. */
+/** @brief A set of interchangeable backend servers. */
 struct Service {
     ServiceName name;
-    /** Nothing: a plain service. */
+    /** Empty for a plain service, which has no model engines. */
     std::optional<EngineFacts> engine;
 };
 
-/** A client account: its keys and what it has paid for. */
+/** @brief A client account: its API keys, urgency and prepaid token budget. */
 struct Account {
     AccountId id;
     std::vector<std::string> keys;
-    /** Goes before that of the route. */
+    /** Overrides the route's urgency. */
     std::optional<std::uint32_t> urgency;
-    /** Tokens that it may use in all; nothing: not limited. */
+    /** Total number of tokens that the account may use; empty: unlimited. */
     std::optional<Tokens> budget;
 };
 
-/** What callers may send, and how long they may take. */
+/** @brief Size limits and timeouts for callers' requests. */
 struct CallerLimits {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
+    /** Timeout for receiving a complete request header. */
     Duration headerTime = std::chrono::seconds(10);
+    /** Timeout for a connection without a request. */
     Duration idleTime = std::chrono::seconds(60);
 
     [[nodiscard]] bool operator==(const CallerLimits&) const = default;
 };
 
-/** One accepted configuration of the whole fleet. */
+/** @brief An accepted configuration of the whole fleet. */
 struct FleetConfig {
-    /** Rises from one accepted configuration to the next, in uneven steps. */
+    /** Increases with each accepted configuration, not always by one. */
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
--- a/src/fleet/RouteTable.cpp
+++ b/src/fleet/RouteTable.cpp
@@ -12,7 +12,7 @@
     {
         std::string lower(text);
         std::ranges::transform(
-            lower, lower.begin(), [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
+            lower, lower.begin(), [](unsigned char character) { return static_cast<char>(std::tolower(character)); });
         return lower;
     }
 
@@ -65,19 +65,19 @@
 
 ServiceName RouteTable::target(const Route& route, std::uint64_t draw)
 {
-    std::uint64_t whole = 0;
+    std::uint64_t totalWeight = 0;
     for (const Target& target : route.targets) {
-        whole += target.weight;
+        totalWeight += target.weight;
     }
-    if (whole == 0) {
+    if (totalWeight == 0) {
         return {};
     }
-    std::uint64_t place = draw % whole;
+    std::uint64_t remainder = draw % totalWeight;
     for (const Target& target : route.targets) {
-        if (place < target.weight) {
+        if (remainder < target.weight) {
             return target.service;
         }
-        place -= target.weight;
+        remainder -= target.weight;
     }
     return {};
 }
--- a/tests/fleet/RouteTableTest.cpp
+++ b/tests/fleet/RouteTableTest.cpp
@@ -9,12 +9,12 @@
 
     Route route(const std::string& host, const std::string& prefix, std::vector<Target> targets = {})
     {
-        Route made;
-        made.name = RouteName(prefix);
-        made.host = host;
-        made.pathPrefix = prefix;
-        made.targets = std::move(targets);
-        return made;
+        Route result;
+        result.name = RouteName(prefix);
+        result.host = host;
+        result.pathPrefix = prefix;
+        result.targets = std::move(targets);
+        return result;
     }
 
     RouteTable tableOf(std::vector<Route> routes, std::vector<Account> accounts = {})
@@ -25,7 +25,7 @@
         return RouteTable(std::move(config));
     }
 
-    TEST(RouteTableTest, LongestPrefixOfTheHostWins)
+    TEST(RouteTableTest, FindsTheLongestMatchingPrefixOfTheHost)
     {
         const RouteTable table
             = tableOf({ route("a.example", "/x/"), route("a.example", "/x/y/"), route("b.example", "/") });
@@ -36,7 +36,7 @@
         EXPECT_EQ(table.find("c.example", "/x/"), nullptr);
     }
 
-    TEST(RouteTableTest, KeysBelongToTheirAccounts)
+    TEST(RouteTableTest, FindsTheAccountOfAKey)
     {
         const RouteTable table
             = tableOf({}, { { AccountId("one"), { "k1", "k2" }, {}, {} }, { AccountId("two"), { "k3" }, {}, {} } });
@@ -47,17 +47,17 @@
         EXPECT_FALSE(tableOf({}).requiresKeys());
     }
 
-    TEST(RouteTableTest, WeightsSplitAndNothingGoesToWeightZero)
+    TEST(RouteTableTest, SplitsByWeightAndNeverSelectsWeightZero)
     {
         const Route split
             = route("a", "/", { { ServiceName("x"), 3 }, { ServiceName("y"), 1 }, { ServiceName("z"), 0 } });
-        std::map<ServiceName, int> hits;
+        std::map<ServiceName, int> selections;
         for (std::uint64_t draw = 0; draw < 400; ++draw) {
-            ++hits[RouteTable::target(split, draw)];
+            ++selections[RouteTable::target(split, draw)];
         }
-        EXPECT_EQ(hits[ServiceName("x")], 300);
-        EXPECT_EQ(hits[ServiceName("y")], 100);
-        EXPECT_EQ(hits[ServiceName("z")], 0);
+        EXPECT_EQ(selections[ServiceName("x")], 300);
+        EXPECT_EQ(selections[ServiceName("y")], 100);
+        EXPECT_EQ(selections[ServiceName("z")], 0);
         EXPECT_EQ(RouteTable::target(route("a", "/"), 1), ServiceName());
     }
 
