--- a/include/swiftlift/membership/Membership.h
+++ b/include/swiftlift/membership/Membership.h
@@ -119,8 +119,7 @@
     /** @return True when the platform lists this router's VM as leaving. */
     [[nodiscard]] bool selfLeaving() const noexcept { return selfLeaving_; }
 
-    /** @brief Numbers of peers by state, and of VMs in the platform's list without this one; for operators and metrics.
-     */
+    /** @brief Numbers of peers by state, and of other VMs in the platform's list; for operators and metrics. */
     struct Counts {
         std::size_t alive = 0;
         std::size_t aliveInDomain = 0;
@@ -200,8 +199,7 @@
     [[nodiscard]] bool isEligible(const Peer& peer) const;
     [[nodiscard]] bool mayWitness(Incarnation incarnation) const;
     [[nodiscard]] bool mayBeRemoteReplica(Incarnation incarnation) const;
-    /** @return Start of the every-period heartbeats with the peer; empty when the peer is contacted by rotation only.
-     */
+    /** @return Start of the every-period heartbeats with the peer; empty for a peer contacted by rotation only. */
     [[nodiscard]] std::optional<Instant> everyPeriodSince(Incarnation incarnation) const;
     /** @return 0 in the own failure domain, 1 in the own region, 2 beyond. */
     [[nodiscard]] int distance(const Peer& peer) const;
