--- a/include/swiftlift/config/ConfigEffect.h
+++ b/include/swiftlift/config/ConfigEffect.h
@@ -10,59 +10,65 @@
 
 namespace swiftlift::config {
 
+/** @brief Why a record of the stream `config` had no effect on the configuration. */
 enum class RejectReason : std::uint8_t {
-    /** The document has findings. */
+    /** The document has errors, or a withdrawal names a service that is not in force. */
     Invalid,
-    /** Another publish came first: `replaces` is not the revision in force. */
+    /** Another publish was appended first: `replaces` is not the service's last revision. */
     Overtaken,
-    /** The document is about another service than the record. */
+    /** The document describes another service than the one named in the record. */
     WrongService,
-    /** Not a record of this stream. */
+    /** Not a readable record of this stream, or a snapshot of a state later than its own offset. */
     Unreadable,
 };
 
-// What a record of the stream `config` did.
+/** @brief A published document was accepted as the service's new revision. */
 struct Accepted {
     ServiceName service;
     Offset revision;
     std::string author;
     std::uint64_t id = 0;
 };
-/** Nothing changed. An overtaken author learns by whom. */
+/**
+ * @brief A record was rejected and changed nothing. For `Overtaken`, `currentAuthor` published the revision that came
+ * first.
+ */
 struct Rejected {
     ServiceName service;
     Offset offset;
     std::string author;
     std::uint64_t id = 0;
     RejectReason reason = RejectReason::Invalid;
-    /** Nothing: the service never was. */
+    /** Empty when the service has never existed. */
     std::optional<Offset> currentRevision;
     std::string currentAuthor;
     Findings findings;
 };
+/** @brief A service was withdrawn. */
 struct Withdrawn {
     ServiceName service;
     Offset revision;
     std::string author;
     std::uint64_t id = 0;
 };
-/** An append made again after a lost answer: it did its work the first time, at `revision`. */
+/** @brief A duplicate of a record that took effect at `revision`, appended by a retry after a lost answer. */
 struct Repeated {
     ServiceName service;
     Offset offset;
     Offset revision;
     std::uint64_t id = 0;
 };
-/** A snapshot was passed; `agrees` is false when this fold's own state as of then is another one. */
+/** @brief A snapshot was read; `agrees` is false when this fold had another state at the snapshot's `as_of`. */
 struct SnapshotPassed {
     Offset offset;
     bool agrees = true;
 };
-/** The state was taken from a snapshot; the stream has to be read on from `from`. */
+/** @brief The state was restored from a snapshot or caught up from a peer; reading continues at `from`. */
 struct Restored {
     Offset from;
 };
 
+/** @brief Effect of one record of the stream `config`. */
 using ConfigEffect = std::variant<Accepted, Rejected, Withdrawn, Repeated, SnapshotPassed, Restored>;
 
 } // namespace swiftlift::config
--- a/include/swiftlift/config/ConfigFold.h
+++ b/include/swiftlift/config/ConfigFold.h
@@ -16,19 +16,19 @@
 
 namespace swiftlift::config {
 
-/** A service's document as accepted, or its withdrawal. */
+/** @brief An accepted document of a service, or the service's withdrawal. */
 struct ServiceRevision {
     ServiceName service;
     Offset revision;
     std::string author;
     std::uint64_t id = 0;
-    /** Empty: withdrawn. */
+    /** The YAML document; empty when the service is withdrawn. */
     std::string text;
-    /** Nothing: withdrawn, or a snapshot's text that this release can't read. */
+    /** The parsed document; empty when withdrawn, or when this release can't read the text from a snapshot. */
     std::optional<settings::ServiceDocument> document;
 };
 
-/** One earlier revision of a service, without its text. */
+/** @brief An entry in a service's history: a revision without its text. */
 struct RevisionNote {
     Offset revision;
     std::string author;
@@ -36,77 +36,86 @@
     bool withdrawn = false;
 };
 
-/** Records to pass on to a peer, in order from `first`. */
+/** @brief Consecutive records for a peer; `first` is the offset of the first one. */
 struct RetainedRecords {
     Offset first;
     std::vector<std::string> records;
 };
 
 /**
- * @brief The deterministic fold over the stream `config`: the only truth about services.
+ * @brief The deterministic fold over the stream `config`: the authoritative state of all services.
  *
- * Each reader of the same unbroken prefix computes the same state. A lower offset is never applied, so nothing
- * reverts; a gap is refused, never guessed over.
+ * Every reader of the same gapless prefix computes the same state. Records below the next offset are ignored, so no
+ * revision reverts to an earlier one. A record beyond the next offset is refused, because the records of the gap may
+ * change the state.
  */
 class ConfigFold {
 public:
-    /** Raw records kept for peers, at most; what is older is passed on as a snapshot. */
-    static constexpr std::size_t keptBytes = std::size_t { 1024 } * 1024;
-    /** Earlier revisions kept of a service. */
-    static constexpr std::size_t historyLength = 32;
+    /** Maximum size in bytes of the raw records kept for peers; a peer that needs older ones gets a snapshot. */
+    static constexpr std::size_t maxRetainedBytes = std::size_t { 1024 } * 1024;
+    /** Maximum number of revisions kept in a service's history, the last one included. */
+    static constexpr std::size_t maxHistoryLength = 32;
 
     /**
-     * @brief Applies the record at `offset`, as the log gave it.
-     * @param effects Takes what the record did.
-     * @return false with `lastReason()` when the offset leaves a gap, or the rules' version is a later one; nothing is
-     * applied. An offset below `nextOffset()` is ignored, and true.
+     * @brief Applies a record that was read from the log.
+     * @param offset The record's offset.
+     * @param record The raw record.
+     * @param effects Receives the record's effects.
+     * @return False with `lastReason()` set when the offset leaves a gap or the record's rules are of a later version;
+     * nothing is applied then. True otherwise, also for an offset below `nextOffset()`, which is ignored.
      */
     [[nodiscard]] bool apply(Offset offset, std::string_view record, std::vector<ConfigEffect>& effects);
 
     /**
-     * @brief Applies the record at `offset`, as a peer passed it on. A peer that no longer keeps what was asked for
-     * sends its whole state as a snapshot, which counts as the record before its own `as_of`.
-     * @return As apply().
+     * @brief Applies a record received from a peer. A peer that no longer keeps the requested records sends its whole
+     * state as a snapshot instead, at the offset before the snapshot's `as_of`.
+     * @param offset The record's offset.
+     * @param record The raw record.
+     * @param effects Receives the record's effects.
+     * @return Same as apply().
      */
     [[nodiscard]] bool applyFromPeer(Offset offset, std::string_view record, std::vector<ConfigEffect>& effects);
 
     /**
-     * @brief The log no longer has `nextOffset()`. Records from `oldest` on are searched for a snapshot to start from;
-     * after the effect Restored, reading has to go on from `nextOffset()`.
+     * @brief Starts the search for a snapshot when the record at `nextOffset()` has expired from the log. After the
+     * effect Restored, reading continues at `nextOffset()`.
+     * @param oldest Offset of the log's oldest record, where the search begins.
      */
     void startFrom(Offset oldest);
 
-    /** @return True between startFrom() and the snapshot: what is in force here is old. */
-    [[nodiscard]] bool seeking() const noexcept { return seekFrom_.has_value(); }
+    /** @return True from startFrom() until a snapshot is restored; the state is outdated in that time. */
+    [[nodiscard]] bool seeking() const noexcept { return searchStart_.has_value(); }
 
-    /** @return Offset of the first record not yet applied. */
+    /** @return Offset of the next record to apply. */
     [[nodiscard]] Offset nextOffset() const noexcept { return next_; }
 
-    /** @return Where reading has to go on: nextOffset(), or while seeking the next record to be searched. */
+    /** @return Offset to read next: nextOffset(), or during the search the next record to examine. */
     [[nodiscard]] Offset readFrom() const noexcept;
 
-    /** @return The revision in force; nullptr for a service that never was, is withdrawn or can't be read. */
+    /** @return The revision in force; nullptr when there is none: unknown, withdrawn or without readable document. */
     [[nodiscard]] const ServiceRevision* current(const ServiceName& service) const;
 
-    /** @return The last revision, withdrawals included: what the next publish has to name. */
+    /** @return The last revision, which the next publish must name, withdrawals included; nullptr if none. */
     [[nodiscard]] const ServiceRevision* last(const ServiceName& service) const;
 
-    /** @return Services in force, in order of their names. */
+    /** @return Services in force, ordered by name. */
     [[nodiscard]] std::vector<ServiceName> services() const;
 
-    /** @return Earlier and present revisions, oldest first; at most `historyLength`. */
+    /** @return The service's most recent revisions, oldest first; at most `maxHistoryLength`. */
     [[nodiscard]] std::vector<RevisionNote> history(const ServiceName& service) const;
 
     /**
-     * @param from What the peer wants next.
-     * @param maxBytes Bound of the answer; one record is given in any case.
-     * @return Records from `from` on, or this fold's state when they are no longer kept; empty when there is nothing.
+     * @param from Offset of the next record that the peer needs.
+     * @param maxBytes Maximum size of the records in bytes; the first record is returned whatever its size.
+     * @return Records from `from` on, or a snapshot of this fold's state when those are no longer kept; empty when
+     * this fold has no such records yet.
      */
     [[nodiscard]] RetainedRecords recordsFrom(Offset from, std::size_t maxBytes) const;
 
-    /** @return A snapshot of the present state, to be appended. */
+    /** @return A snapshot record of the present state, to append to the log. */
     [[nodiscard]] std::string snapshot() const;
 
+    /** @return Why the last refused record was refused; empty when none was. */
     [[nodiscard]] const std::string& lastReason() const noexcept { return lastReason_; }
 
 private:
@@ -115,29 +124,29 @@
         std::deque<RevisionNote> history;
     };
 
-    /** A record as parsed; defined beside the code, so that users of this header need no generated one. */
+    /** @brief A parsed record; defined in a private header, so that this header doesn't include generated ones. */
     struct Parsed;
 
-    [[nodiscard]] bool refuse(std::string reason);
-    [[nodiscard]] bool versionKnown(Offset offset, const Parsed& parsed);
+    [[nodiscard]] bool refuseRecord(std::string reason);
+    [[nodiscard]] bool isVersionSupported(Offset offset, const Parsed& parsed);
     [[nodiscard]] bool applyNext(
         Offset offset, std::string_view record, const Parsed& parsed, std::vector<ConfigEffect>& effects);
-    [[nodiscard]] bool seek(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects);
+    [[nodiscard]] bool searchSnapshot(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects);
     void applyPublish(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects);
-    void withdraw(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects);
-    void restore(const Parsed& parsed, Offset next, std::vector<ConfigEffect>& effects);
-    void compare(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects) const;
-    void setLast(ServiceRevision revision);
-    void keep(std::string_view record);
-    [[nodiscard]] Rejected rejection(Offset offset, const Parsed& parsed, RejectReason reason) const;
-    [[nodiscard]] const RevisionNote* findRepeat(const ServiceName& service, std::uint64_t id) const;
+    void applyWithdrawal(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects);
+    void restoreSnapshot(const Parsed& parsed, Offset next, std::vector<ConfigEffect>& effects);
+    void compareWithSnapshot(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects) const;
+    void setLastRevision(ServiceRevision revision);
+    void retainRecord(std::string_view record);
+    [[nodiscard]] Rejected makeRejection(Offset offset, const Parsed& parsed, RejectReason reason) const;
+    [[nodiscard]] const RevisionNote* findDuplicate(const ServiceName& service, std::uint64_t id) const;
 
     std::map<ServiceName, Service> services_;
-    std::deque<std::string> kept_;
-    std::size_t keptSize_ = 0;
+    std::deque<std::string> retainedRecords_;
+    std::size_t retainedBytes_ = 0;
     Offset next_;
-    std::optional<Offset> seekFrom_;
-    Offset seekNext_;
+    std::optional<Offset> searchStart_;
+    Offset searchNext_;
     std::string lastReason_;
 };
 
--- a/include/swiftlift/config/SnapshotSchedule.h
+++ b/include/swiftlift/config/SnapshotSchedule.h
@@ -9,34 +9,45 @@
 namespace swiftlift::config {
 
 /**
- * @brief When this router should append a snapshot, so that the stream's oldest records may expire.
+ * @brief Decides when this router appends a snapshot, so that the stream's oldest records may expire.
  *
- * Any router may append one. Each waits a random time more, and starts over when it reads another's: mostly one does.
+ * Every router may append snapshots. Each waits the interval plus a random time, and restarts the wait after reading a
+ * snapshot, so that mostly only one router appends in an interval.
  */
 class SnapshotSchedule {
 public:
     /**
-     * @param interval Between two snapshots; under a third of the log's retention.
-     * @param seed Of the random stagger, which is at most half the interval.
+     * @param interval Time between two snapshots; under a third of the log's retention time.
+     * @param seed Seed of the random additional wait, which is at most half the interval.
      */
     SnapshotSchedule(Duration interval, std::uint64_t seed);
 
-    /** @brief Another interval from the next wait on; for a state whose size asks for one. */
+    /**
+     * @brief Changes the interval, beginning with the next wait, for instance after the size of the state changed.
+     * @param interval Time between two snapshots.
+     */
     void setInterval(Duration interval) noexcept { interval_ = interval; }
 
-    /** @brief A snapshot was read from the log, whoever appended it. */
+    /**
+     * @brief Restarts the wait after a snapshot was read from the log, whichever router appended the snapshot.
+     * @param now Present time.
+     */
     void onSnapshot(Instant now);
 
-    /** @return True when one is due; false again until onSnapshot() or until the same wait has passed once more. */
+    /**
+     * @brief Checks whether a snapshot is due. When one is due, a new wait begins.
+     * @param now Present time.
+     * @return True when this router should append a snapshot now.
+     */
     [[nodiscard]] bool due(Instant now);
 
 private:
-    void restart(Instant now);
+    void restartWait(Instant now);
 
     Duration interval_;
     std::mt19937_64 random_;
     bool started_ = false;
-    Instant next_ {};
+    Instant nextDue_ {};
 };
 
 } // namespace swiftlift::config
--- a/src/config/ConfigFold.cpp
+++ b/src/config/ConfigFold.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    [[nodiscard]] Offset after(Offset offset) { return Offset { offset.value() + 1 }; }
+    [[nodiscard]] Offset offsetAfter(Offset offset) { return Offset { offset.value() + 1 }; }
 
-    [[nodiscard]] std::string gapText(Offset expected, Offset got)
+    [[nodiscard]] std::string gapMessage(Offset expected, Offset got)
     {
         return "gap: expected offset " + std::to_string(expected.value()) + ", got " + std::to_string(got.value());
     }
@@ -21,7 +21,7 @@
 {
     const Parsed parsed(record);
     if (seeking()) {
-        return seek(offset, parsed, effects);
+        return searchSnapshot(offset, parsed, effects);
     }
     return applyNext(offset, record, parsed, effects);
 }
@@ -29,20 +29,20 @@
 bool ConfigFold::applyFromPeer(Offset offset, std::string_view record, std::vector<ConfigEffect>& effects)
 {
     const Parsed parsed(record);
-    if (parsed.statesPeer(offset)) {
-        if (!versionKnown(offset, parsed)) {
+    if (parsed.isPeerState(offset)) {
+        if (!isVersionSupported(offset, parsed)) {
             return false;
         }
         if (parsed.asOf() > next_) {
-            restore(parsed, parsed.asOf(), effects);
+            restoreSnapshot(parsed, parsed.asOf(), effects);
         }
         return true;
     }
     if (!applyNext(offset, record, parsed, effects)) {
         return false;
     }
-    if (seeking() && next_ >= *seekFrom_) {
-        seekFrom_.reset();
+    if (seeking() && next_ >= *searchStart_) {
+        searchStart_.reset();
         effects.emplace_back(Restored { next_ });
     }
     return true;
@@ -54,45 +54,47 @@
     if (offset < next_) {
         return true;
     }
-    // A record missed is a publish missed: the next one would be judged by a revision that is not in force, and this
-    // router would differ from the others for good.
+    // A missing record may be a missing publish. Later publishes would then be checked against an outdated revision,
+    // and this router's state would differ from the others' permanently.
     if (offset > next_) {
-        return refuse(gapText(next_, offset));
+        return refuseRecord(gapMessage(next_, offset));
     }
-    if (!versionKnown(offset, parsed)) {
+    if (!isVersionSupported(offset, parsed)) {
         return false;
     }
     const bool snapshot = parsed.readable && parsed.record.has_snapshot();
     if (parsed.readable && parsed.record.has_publish()) {
         applyPublish(offset, parsed, effects);
     } else if (snapshot && parsed.asOf() <= offset) {
-        compare(offset, parsed, effects);
+        compareWithSnapshot(offset, parsed, effects);
     } else {
-        effects.emplace_back(rejection(offset, parsed, RejectReason::Unreadable));
+        effects.emplace_back(makeRejection(offset, parsed, RejectReason::Unreadable));
     }
-    keep(record);
-    next_ = after(offset);
+    retainRecord(record);
+    next_ = offsetAfter(offset);
     return true;
 }
 
-// Two releases that fold differently would each hold another document to be in force. One would notice services that
-// behave by the router asked. So an older release stops at the first record of newer rules and says so.
-bool ConfigFold::versionKnown(Offset offset, const Parsed& parsed)
+// Two releases with different rules could have different documents in force; a service's behaviour would then depend on
+// which router handles a request. So an older release stops at the first record of newer rules and reports the
+// versions.
+bool ConfigFold::isVersionSupported(Offset offset, const Parsed& parsed)
 {
     if (!parsed.readable || parsed.record.rules_version() <= rulesVersion) {
         return true;
     }
-    return refuse("record at offset " + std::to_string(offset.value()) + " follows rules "
-        + std::to_string(parsed.record.rules_version()) + ", known are " + std::to_string(rulesVersion));
+    return refuseRecord("record at offset " + std::to_string(offset.value()) + " has rules version "
+        + std::to_string(parsed.record.rules_version()) + ", latest supported version is "
+        + std::to_string(rulesVersion));
 }
 
-bool ConfigFold::refuse(std::string reason)
+bool ConfigFold::refuseRecord(std::string reason)
 {
     lastReason_ = std::move(reason);
     return false;
 }
 
-Rejected ConfigFold::rejection(Offset offset, const Parsed& parsed, RejectReason reason) const
+Rejected ConfigFold::makeRejection(Offset offset, const Parsed& parsed, RejectReason reason) const
 {
     const proto::config::Publish& publish = parsed.record.publish();
     Rejected rejected;
@@ -101,9 +103,9 @@
     rejected.author = publish.author();
     rejected.id = publish.id();
     rejected.reason = reason;
-    if (const ServiceRevision* present = last(rejected.service)) {
-        rejected.currentRevision = present->revision;
-        rejected.currentAuthor = present->author;
+    if (const ServiceRevision* lastRevision = last(rejected.service)) {
+        rejected.currentRevision = lastRevision->revision;
+        rejected.currentAuthor = lastRevision->author;
     }
     return rejected;
 }
@@ -112,71 +114,72 @@
 {
     const proto::config::Publish& publish = parsed.record.publish();
     const ServiceName service { publish.service() };
-    // An append whose answer was lost is made again. Without its id the author would be told that it lost a race
-    // against itself.
-    if (const RevisionNote* note = findRepeat(service, publish.id())) {
+    // An append whose answer was lost is retried. If the id didn't identify the duplicate, the author's own first
+    // append would count as a competing publish and the duplicate would be rejected.
+    if (const RevisionNote* note = findDuplicate(service, publish.id())) {
         effects.emplace_back(Repeated { service, offset, note->revision, publish.id() });
         return;
     }
-    const ServiceRevision* present = last(service);
-    const std::uint64_t expected = present != nullptr ? after(present->revision).value() : 0;
+    const ServiceRevision* lastRevision = last(service);
+    const std::uint64_t expected = lastRevision != nullptr ? offsetAfter(lastRevision->revision).value() : 0;
     if (publish.replaces() != expected) {
-        effects.emplace_back(rejection(offset, parsed, RejectReason::Overtaken));
+        effects.emplace_back(makeRejection(offset, parsed, RejectReason::Overtaken));
         return;
     }
     if (publish.document().empty()) {
-        withdraw(offset, parsed, effects);
+        applyWithdrawal(offset, parsed, effects);
         return;
     }
     Findings findings;
     std::optional<settings::ServiceDocument> document
         = settings::parseServiceDocument(publish.document(), service.value(), findings);
     if (!document) {
-        Rejected rejected = rejection(offset, parsed, RejectReason::Invalid);
+        Rejected rejected = makeRejection(offset, parsed, RejectReason::Invalid);
         rejected.findings = std::move(findings);
         effects.emplace_back(std::move(rejected));
         return;
     }
     if (document->service != service) {
-        Rejected rejected = rejection(offset, parsed, RejectReason::WrongService);
+        Rejected rejected = makeRejection(offset, parsed, RejectReason::WrongService);
         rejected.findings.push_back(
-            Finding { service.value(), 0, 0, "the document is about service `" + document->service.value() + "`" });
+            Finding { service.value(), 0, 0, "the document describes service `" + document->service.value() + "`" });
         effects.emplace_back(std::move(rejected));
         return;
     }
-    setLast(
+    setLastRevision(
         ServiceRevision { service, offset, publish.author(), publish.id(), publish.document(), std::move(document) });
     effects.emplace_back(Accepted { service, offset, publish.author(), publish.id() });
 }
 
-// The withdrawal stays as the service's last revision: without it a late repeat of the first publish, which names no
-// revision, would bring the service back.
-void ConfigFold::withdraw(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects)
+// The withdrawal is kept as the service's last revision. Otherwise a late duplicate of the service's first publish,
+// which names no revision to replace, would be accepted and restore the service.
+void ConfigFold::applyWithdrawal(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects)
 {
     const proto::config::Publish& publish = parsed.record.publish();
     const ServiceName service { publish.service() };
-    const ServiceRevision* present = last(service);
-    if (present == nullptr || present->text.empty()) {
-        Rejected rejected = rejection(offset, parsed, RejectReason::Invalid);
-        rejected.findings.push_back(Finding { service.value(), 0, 0, "there is no such service to withdraw" });
+    const ServiceRevision* lastRevision = last(service);
+    if (lastRevision == nullptr || lastRevision->text.empty()) {
+        Rejected rejected = makeRejection(offset, parsed, RejectReason::Invalid);
+        rejected.findings.push_back(
+            Finding { service.value(), 0, 0, "no such service is in force, nothing to withdraw" });
         effects.emplace_back(std::move(rejected));
         return;
     }
-    setLast(ServiceRevision { service, offset, publish.author(), publish.id(), {}, std::nullopt });
+    setLastRevision(ServiceRevision { service, offset, publish.author(), publish.id(), {}, std::nullopt });
     effects.emplace_back(Withdrawn { service, offset, publish.author(), publish.id() });
 }
 
-void ConfigFold::setLast(ServiceRevision revision)
+void ConfigFold::setLastRevision(ServiceRevision revision)
 {
     Service& service = services_[revision.service];
     service.history.push_back(RevisionNote { revision.revision, revision.author, revision.id, revision.text.empty() });
-    if (service.history.size() > historyLength) {
+    if (service.history.size() > maxHistoryLength) {
         service.history.pop_front();
     }
     service.last = std::move(revision);
 }
 
-const RevisionNote* ConfigFold::findRepeat(const ServiceName& service, std::uint64_t id) const
+const RevisionNote* ConfigFold::findDuplicate(const ServiceName& service, std::uint64_t id) const
 {
     const auto found = services_.find(service);
     if (found == services_.end() || id == 0) {
--- a/src/config/Snapshot.cpp
+++ b/src/config/Snapshot.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-    // Of a snapshot's text: one that this release can't read counts as not in force, and keeps its place.
-    [[nodiscard]] std::optional<settings::ServiceDocument> parse(const proto::config::ServiceRevision& revision)
+    // Parses the document of a service in a snapshot. A service whose document this release can't read counts as not in
+    // force, but keeps its revision.
+    [[nodiscard]] std::optional<settings::ServiceDocument> parseDocument(const proto::config::ServiceRevision& revision)
     {
         if (revision.document().empty()) {
             return std::nullopt;
@@ -25,83 +26,87 @@
     if (oldest <= next_) {
         return;
     }
-    seekFrom_ = oldest;
-    seekNext_ = oldest;
+    searchStart_ = oldest;
+    searchNext_ = oldest;
 }
 
-Offset ConfigFold::readFrom() const noexcept { return seeking() ? seekNext_ : next_; }
+Offset ConfigFold::readFrom() const noexcept { return seeking() ? searchNext_ : next_; }
 
-// A snapshot is fit to start from when the records from its `as_of` on are still in the log. Those between `as_of` and
-// the snapshot itself were passed over, so reading goes on from `as_of`. With none between, the snapshot itself is the
-// next record, and is done with: a reader that waited for it again would wait for ever on a quiet stream.
-bool ConfigFold::seek(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects)
+// A snapshot is usable when the log still has all records from its `as_of` on. The search has skipped the records
+// between `as_of` and the snapshot, so reading continues at `as_of`. If there are no such records, reading continues
+// after the snapshot: a reader that waited at the snapshot's own offset would wait forever on a stream without new
+// records.
+bool ConfigFold::searchSnapshot(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects)
 {
-    if (offset < seekNext_) {
+    if (offset < searchNext_) {
         return true;
     }
-    if (offset > seekNext_) {
-        return refuse("gap while looking for a snapshot: expected offset " + std::to_string(seekNext_.value()));
+    if (offset > searchNext_) {
+        return refuseRecord(
+            "gap during the search for a snapshot: expected offset " + std::to_string(searchNext_.value()));
     }
-    if (!versionKnown(offset, parsed)) {
+    if (!isVersionSupported(offset, parsed)) {
         return false;
     }
-    seekNext_ = Offset { offset.value() + 1 };
+    searchNext_ = Offset { offset.value() + 1 };
     const bool snapshot = parsed.readable && parsed.record.has_snapshot();
-    if (snapshot && parsed.asOf() >= *seekFrom_ && parsed.asOf() <= offset) {
-        restore(parsed, parsed.asOf() == offset ? seekNext_ : parsed.asOf(), effects);
+    if (snapshot && parsed.asOf() >= *searchStart_ && parsed.asOf() <= offset) {
+        restoreSnapshot(parsed, parsed.asOf() == offset ? searchNext_ : parsed.asOf(), effects);
     }
     return true;
 }
 
-void ConfigFold::restore(const Parsed& parsed, Offset next, std::vector<ConfigEffect>& effects)
+void ConfigFold::restoreSnapshot(const Parsed& parsed, Offset next, std::vector<ConfigEffect>& effects)
 {
-    std::map<ServiceName, Service> before = std::exchange(services_, {});
+    std::map<ServiceName, Service> previous = std::exchange(services_, {});
     for (const proto::config::ServiceRevision& revision : parsed.record.snapshot().services()) {
         const ServiceName name { revision.service() };
-        const auto known = before.find(name);
-        const bool same = known != before.end() && known->second.last.revision.value() == revision.revision();
-        if (known != before.end()) {
+        const auto known = previous.find(name);
+        const bool unchanged = known != previous.end() && known->second.last.revision.value() == revision.revision();
+        if (known != previous.end()) {
             services_[name].history = std::move(known->second.history);
         }
-        if (same) {
+        if (unchanged) {
             services_[name].last = std::move(known->second.last);
             continue;
         }
-        const Offset at { revision.revision() };
-        setLast(ServiceRevision { name, at, revision.author(), revision.id(), revision.document(), parse(revision) });
+        const Offset revisionOffset { revision.revision() };
+        setLastRevision(ServiceRevision {
+            name, revisionOffset, revision.author(), revision.id(), revision.document(), parseDocument(revision) });
         if (revision.document().empty()) {
-            effects.emplace_back(Withdrawn { name, at, revision.author(), revision.id() });
+            effects.emplace_back(Withdrawn { name, revisionOffset, revision.author(), revision.id() });
         } else {
-            effects.emplace_back(Accepted { name, at, revision.author(), revision.id() });
+            effects.emplace_back(Accepted { name, revisionOffset, revision.author(), revision.id() });
         }
     }
     next_ = next;
-    seekFrom_.reset();
-    kept_.clear();
-    keptSize_ = 0;
+    searchStart_.reset();
+    retainedRecords_.clear();
+    retainedBytes_ = 0;
     effects.emplace_back(Restored { next_ });
 }
 
-// A fold that had gone astray would stay so unnoticed; each snapshot of another router is a check on it.
-void ConfigFold::compare(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects) const
+// Compares a snapshot with the state of this fold. A fold that diverged from the other routers would otherwise remain
+// undetected.
+void ConfigFold::compareWithSnapshot(Offset offset, const Parsed& parsed, std::vector<ConfigEffect>& effects) const
 {
     const proto::config::Snapshot& snapshot = parsed.record.snapshot();
-    std::map<ServiceName, const proto::config::ServiceRevision*> theirs;
+    std::map<ServiceName, const proto::config::ServiceRevision*> snapshotServices;
     for (const proto::config::ServiceRevision& revision : snapshot.services()) {
-        theirs[ServiceName { revision.service() }] = &revision;
+        snapshotServices[ServiceName { revision.service() }] = &revision;
     }
     bool agrees = true;
     for (const auto& [name, service] : services_) {
         if (service.last.revision >= parsed.asOf()) {
-            theirs.erase(name);
+            snapshotServices.erase(name);
             continue;
         }
-        const auto found = theirs.find(name);
-        agrees = agrees && found != theirs.end() && found->second->revision() == service.last.revision.value()
+        const auto found = snapshotServices.find(name);
+        agrees = agrees && found != snapshotServices.end() && found->second->revision() == service.last.revision.value()
             && found->second->document() == service.last.text;
-        theirs.erase(name);
+        snapshotServices.erase(name);
     }
-    effects.emplace_back(SnapshotPassed { offset, agrees && theirs.empty() });
+    effects.emplace_back(SnapshotPassed { offset, agrees && snapshotServices.empty() });
 }
 
 std::string ConfigFold::snapshot() const
@@ -121,13 +126,13 @@
     return record.SerializeAsString();
 }
 
-void ConfigFold::keep(std::string_view record)
+void ConfigFold::retainRecord(std::string_view record)
 {
-    kept_.emplace_back(record);
-    keptSize_ += record.size();
-    while (keptSize_ > keptBytes) {
-        keptSize_ -= kept_.front().size();
-        kept_.pop_front();
+    retainedRecords_.emplace_back(record);
+    retainedBytes_ += record.size();
+    while (retainedBytes_ > maxRetainedBytes) {
+        retainedBytes_ -= retainedRecords_.front().size();
+        retainedRecords_.pop_front();
     }
 }
 
@@ -136,20 +141,20 @@
     if (from >= next_) {
         return { next_, {} };
     }
-    const std::uint64_t keptFirst = next_.value() - kept_.size();
-    if (from.value() < keptFirst) {
+    const std::uint64_t firstRetained = next_.value() - retainedRecords_.size();
+    if (from.value() < firstRetained) {
         return { Offset { next_.value() - 1 }, { snapshot() } };
     }
-    RetainedRecords answer { from, {} };
+    RetainedRecords result { from, {} };
     std::size_t bytes = 0;
-    for (std::size_t i = from.value() - keptFirst; i < kept_.size(); ++i) {
-        bytes += kept_[i].size();
-        if (!answer.records.empty() && bytes > maxBytes) {
+    for (std::size_t i = from.value() - firstRetained; i < retainedRecords_.size(); ++i) {
+        bytes += retainedRecords_[i].size();
+        if (!result.records.empty() && bytes > maxBytes) {
             break;
         }
-        answer.records.push_back(kept_[i]);
+        result.records.push_back(retainedRecords_[i]);
     }
-    return answer;
+    return result;
 }
 
 } // namespace swiftlift::config
--- a/src/config/SnapshotSchedule.cpp
+++ b/src/config/SnapshotSchedule.cpp
@@ -8,27 +8,27 @@
     : interval_(interval)
     , random_(seed)
 {
-    assert(interval > Duration {} && "snapshots need an interval");
+    assert(interval > Duration {} && "the snapshot interval must be positive");
 }
 
-void SnapshotSchedule::onSnapshot(Instant now) { restart(now); }
+void SnapshotSchedule::onSnapshot(Instant now) { restartWait(now); }
 
 bool SnapshotSchedule::due(Instant now)
 {
     if (!started_) {
-        restart(now);
+        restartWait(now);
     }
-    if (now < next_) {
+    if (now < nextDue_) {
         return false;
     }
-    restart(now);
+    restartWait(now);
     return true;
 }
 
-void SnapshotSchedule::restart(Instant now)
+void SnapshotSchedule::restartWait(Instant now)
 {
-    const auto stagger = static_cast<std::uint64_t>(interval_.count() / 2 + 1);
-    next_ = now + interval_ + Duration { static_cast<Duration::rep>(random_() % stagger) };
+    const auto staggerRange = static_cast<std::uint64_t>(interval_.count() / 2 + 1);
+    nextDue_ = now + interval_ + Duration { static_cast<Duration::rep>(random_() % staggerRange) };
     started_ = true;
 }
 
--- a/tests/config/ConfigFoldTest.cpp
+++ b/tests/config/ConfigFoldTest.cpp
@@ -15,17 +15,17 @@
     using namespace std::chrono_literals;
     using test::document;
 
-    const ServiceName desk { "desk" };
+    const ServiceName deskService { "desk" };
 
     class ConfigFoldTest : public testing::Test {
     protected:
         static std::string publish(
             std::string text, std::optional<Offset> replaces, std::uint64_t id, const std::string& author = "ann")
         {
-            return encode(PublishRequest { desk, std::move(text), replaces, author, id });
+            return encode(PublishRequest { deskService, std::move(text), replaces, author, id });
         }
 
-        /** Appends to the log and lets the fold read it. */
+        /** Appends the record to the log, applies the record to the fold and returns its only effect. */
         ConfigEffect append(const std::string& record)
         {
             log_.push_back(record);
@@ -35,7 +35,7 @@
             return effects.at(0);
         }
 
-        std::vector<ConfigEffect> read(ConfigFold& fold, std::uint64_t from)
+        std::vector<ConfigEffect> applyLog(ConfigFold& fold, std::uint64_t from)
         {
             std::vector<ConfigEffect> effects;
             for (std::uint64_t i = from; i < log_.size(); ++i) {
@@ -44,9 +44,9 @@
             return effects;
         }
 
-        static std::int64_t cost(const ConfigFold& fold)
+        static std::int64_t callCostOf(const ConfigFold& fold)
         {
-            const ServiceRevision* revision = fold.current(desk);
+            const ServiceRevision* revision = fold.current(deskService);
             return revision == nullptr ? -1 : revision->document->limits.callCost.value();
         }
 
@@ -60,91 +60,90 @@
         EXPECT_EQ(first.revision, Offset { 0 });
         const auto second = std::get<Accepted>(append(publish(document("desk", 2), first.revision, 2, "bob")));
         EXPECT_EQ(second.author, "bob");
-        EXPECT_EQ(cost(fold_), 2);
-        EXPECT_EQ(fold_.services(), std::vector { desk });
-        ASSERT_EQ(fold_.history(desk).size(), 2U);
-        EXPECT_EQ(fold_.history(desk)[0].author, "ann");
+        EXPECT_EQ(callCostOf(fold_), 2);
+        EXPECT_EQ(fold_.services(), std::vector { deskService });
+        ASSERT_EQ(fold_.history(deskService).size(), 2U);
+        EXPECT_EQ(fold_.history(deskService)[0].author, "ann");
     }
 
-    // Symptom: an operator's change is silently undone by another's.
-    // Events: two operators read the same revision and publish; both records land.
-    // Cause: without naming what it replaces, the later record wins.
-    TEST_F(ConfigFoldTest, TheSecondOfTwoRacingOperatorsIsToldByWhomItLost)
+    // Guards against one operator's change silently undoing another's: two operators read the same revision, both
+    // publish, and both records are appended. If a record didn't name the revision that it replaces, the later record
+    // would win.
+    TEST_F(ConfigFoldTest, RejectionOfACompetingPublishNamesTheAuthorInForce)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
         (void)append(publish(document("desk", 2), Offset { 0 }, 2, "bob"));
-        const auto lost = std::get<Rejected>(append(publish(document("desk", 3), Offset { 0 }, 3, "cyd")));
-        EXPECT_EQ(lost.reason, RejectReason::Overtaken);
-        EXPECT_EQ(lost.author, "cyd");
-        EXPECT_EQ(lost.currentAuthor, "bob");
-        EXPECT_EQ(lost.currentRevision, Offset { 1 });
-        EXPECT_EQ(cost(fold_), 2);
+        const auto rejectedPublish = std::get<Rejected>(append(publish(document("desk", 3), Offset { 0 }, 3, "cyd")));
+        EXPECT_EQ(rejectedPublish.reason, RejectReason::Overtaken);
+        EXPECT_EQ(rejectedPublish.author, "cyd");
+        EXPECT_EQ(rejectedPublish.currentAuthor, "bob");
+        EXPECT_EQ(rejectedPublish.currentRevision, Offset { 1 });
+        EXPECT_EQ(callCostOf(fold_), 2);
     }
 
-    // Symptom: a service runs by a document that had been replaced.
-    // Events: a peer passes on old records late; a read is repeated after a lost answer.
-    // Cause: records were applied by arrival, not by offset.
+    // Guards against putting a replaced document in force again: a peer sends old records late, or a read is retried
+    // after a lost answer. Records applied in order of arrival instead of offset would revert the service.
     TEST_F(ConfigFoldTest, NeverReverts)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
-        const std::string early = fold_.snapshot();
+        const std::string outdatedState = fold_.snapshot();
         (void)append(publish(document("desk", 2), Offset { 0 }, 2));
         std::vector<ConfigEffect> effects;
         EXPECT_TRUE(fold_.apply(Offset { 0 }, log_[0], effects));
         EXPECT_TRUE(fold_.applyFromPeer(Offset { 0 }, log_[0], effects));
-        EXPECT_TRUE(fold_.applyFromPeer(Offset { 0 }, early, effects)) << "a peer's older state";
+        EXPECT_TRUE(fold_.applyFromPeer(Offset { 0 }, outdatedState, effects)) << "an outdated state from a peer";
         EXPECT_TRUE(effects.empty());
-        EXPECT_EQ(cost(fold_), 2);
+        EXPECT_EQ(callCostOf(fold_), 2);
         EXPECT_EQ(fold_.nextOffset(), Offset { 2 });
     }
 
-    // Symptom: an operator is told that it lost a race, by itself.
-    // Events: the answer to an append is lost, the append is made again, both land.
-    // Cause: the repeat names the revision that its first landing replaced.
-    TEST_F(ConfigFoldTest, ARepeatedAppendIsTheSamePublish)
+    // Guards against rejecting a publish as a competitor of its own duplicate: the answer to an append is lost, the
+    // append is retried, and both records are in the log. The duplicate names a revision that the first record has
+    // already replaced.
+    TEST_F(ConfigFoldTest, ARetriedAppendIsRecognizedAsADuplicate)
     {
         const std::string record = publish(document("desk", 1), std::nullopt, 77);
         (void)append(record);
-        const auto repeated = std::get<Repeated>(append(record));
-        EXPECT_EQ(repeated.revision, Offset { 0 });
+        const auto duplicate = std::get<Repeated>(append(record));
+        EXPECT_EQ(duplicate.revision, Offset { 0 });
         (void)append(publish(document("desk", 2), Offset { 0 }, 78));
         (void)std::get<Repeated>(append(record));
-        EXPECT_EQ(cost(fold_), 2);
+        EXPECT_EQ(callCostOf(fold_), 2);
     }
 
-    // Symptom: a withdrawn service is back.
-    // Events: it is published, its append repeated and delayed; it is withdrawn; the repeat lands.
-    // Cause: a withdrawal that leaves no trace makes the service look new, which is what the repeat asks for.
-    TEST_F(ConfigFoldTest, AWithdrawnServiceDoesNotComeBackByALateRepeat)
+    // Guards against a withdrawn service returning: a service is published, the append is retried, and the retry is
+    // delayed until after the withdrawal. If the withdrawal left no revision, the service would look new, and the
+    // duplicate of a first publish would be accepted.
+    TEST_F(ConfigFoldTest, ALateDuplicateDoesNotRestoreAWithdrawnService)
     {
-        // Id 0: the repeat can't be told by its id.
+        // With id 0 the duplicate can't be recognized by its id.
         const std::string record = publish(document("desk", 1), std::nullopt, 0);
         (void)append(record);
         (void)std::get<Withdrawn>(append(publish("", Offset { 0 }, 0)));
-        EXPECT_EQ(fold_.current(desk), nullptr);
-        const auto twice = std::get<Rejected>(append(publish("", Offset { 1 }, 0)));
-        EXPECT_EQ(twice.reason, RejectReason::Invalid);
+        EXPECT_EQ(fold_.current(deskService), nullptr);
+        const auto secondWithdrawal = std::get<Rejected>(append(publish("", Offset { 1 }, 0)));
+        EXPECT_EQ(secondWithdrawal.reason, RejectReason::Invalid);
         EXPECT_EQ(std::get<Rejected>(append(record)).reason, RejectReason::Overtaken);
         EXPECT_TRUE(fold_.services().empty());
-        (void)std::get<Accepted>(append(publish(document("desk", 5), fold_.last(desk)->revision, 9)));
-        EXPECT_EQ(cost(fold_), 5);
+        (void)std::get<Accepted>(append(publish(document("desk", 5), fold_.last(deskService)->revision, 9)));
+        EXPECT_EQ(callCostOf(fold_), 5);
     }
 
-    TEST_F(ConfigFoldTest, RefusesWhatIsWrongAndSaysAllOfIt)
+    TEST_F(ConfigFoldTest, RejectsInvalidRecordsWithAllFindings)
     {
-        const std::string bad = "service: desk\nkind: tidy\nbackends: 3\n";
-        const auto invalid = std::get<Rejected>(append(publish(bad, std::nullopt, 1)));
+        const std::string invalidDocument = "service: desk\nkind: tidy\nbackends: 3\n";
+        const auto invalid = std::get<Rejected>(append(publish(invalidDocument, std::nullopt, 1)));
         EXPECT_EQ(invalid.reason, RejectReason::Invalid);
         ASSERT_GE(invalid.findings.size(), 2U);
         EXPECT_GT(invalid.findings[0].line, 0);
-        const auto other = std::get<Rejected>(append(publish(document("till"), std::nullopt, 2)));
-        EXPECT_EQ(other.reason, RejectReason::WrongService);
+        const auto wrongService = std::get<Rejected>(append(publish(document("till"), std::nullopt, 2)));
+        EXPECT_EQ(wrongService.reason, RejectReason::WrongService);
         EXPECT_EQ(std::get<Rejected>(append(publish("", std::nullopt, 3))).reason, RejectReason::Invalid);
         EXPECT_EQ(std::get<Rejected>(append("\x07garbage")).reason, RejectReason::Unreadable);
-        EXPECT_EQ(fold_.nextOffset(), Offset { 4 }) << "a bad record is passed by all folds alike";
+        EXPECT_EQ(fold_.nextOffset(), Offset { 4 }) << "every fold advances past a rejected record";
     }
 
-    TEST_F(ConfigFoldTest, RefusesAGapAndLaterRules)
+    TEST_F(ConfigFoldTest, RefusesAGapAndALaterRulesVersion)
     {
         std::vector<ConfigEffect> effects;
         EXPECT_FALSE(fold_.apply(Offset { 1 }, publish(document("desk"), std::nullopt, 1), effects));
@@ -157,9 +156,9 @@
         EXPECT_EQ(fold_.nextOffset(), Offset { 0 });
     }
 
-    // Symptom: a fresh VM serves nothing, or an old revision, for good.
-    // Events: the log's oldest records expire; a VM starts afterwards.
-    // Cause: its fold needs offset 0. The records between a snapshot's state and the snapshot itself count too.
+    // Guards against a new VM that permanently serves nothing or an outdated revision: the VM starts after the log's
+    // oldest records have expired, so its fold can't begin at offset 0. The records between a snapshot's `as_of` and
+    // the snapshot itself must be applied too.
     TEST_F(ConfigFoldTest, StartsFromASnapshotWhenOldRecordsHaveExpired)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
@@ -169,62 +168,62 @@
         EXPECT_TRUE(std::get<SnapshotPassed>(append(snapshot)).agrees);
         (void)append(publish(document("desk", 4), Offset { 2 }, 4));
 
-        ConfigFold fresh;
-        fresh.startFrom(Offset { 2 });
-        EXPECT_TRUE(fresh.seeking());
+        ConfigFold freshFold;
+        freshFold.startFrom(Offset { 2 });
+        EXPECT_TRUE(freshFold.seeking());
         std::vector<ConfigEffect> effects;
-        ASSERT_TRUE(fresh.apply(Offset { 2 }, log_[2], effects));
-        EXPECT_TRUE(fresh.services().empty()) << "nothing rather than something old";
-        ASSERT_TRUE(fresh.apply(Offset { 3 }, log_[3], effects));
+        ASSERT_TRUE(freshFold.apply(Offset { 2 }, log_[2], effects));
+        EXPECT_TRUE(freshFold.services().empty()) << "no services rather than outdated ones";
+        ASSERT_TRUE(freshFold.apply(Offset { 3 }, log_[3], effects));
         ASSERT_EQ(std::get<Restored>(effects.back()).from, Offset { 2 });
-        EXPECT_FALSE(fresh.apply(Offset { 4 }, log_[4], effects)) << "offset 2 has not been applied";
-        (void)read(fresh, 2);
-        EXPECT_EQ(cost(fresh), 4);
-        EXPECT_EQ(fresh.snapshot(), fold_.snapshot());
+        EXPECT_FALSE(freshFold.apply(Offset { 4 }, log_[4], effects)) << "offset 2 has not been applied";
+        (void)applyLog(freshFold, 2);
+        EXPECT_EQ(callCostOf(freshFold), 4);
+        EXPECT_EQ(freshFold.snapshot(), fold_.snapshot());
     }
 
-    // Symptom: a fresh VM of a quiet fleet is never ready.
-    // Events: a snapshot is the last record of the stream, and nothing was published while it was under way.
-    // Cause: reading went on from the snapshot's own offset, which the reader had behind it already.
-    TEST_F(ConfigFoldTest, ASnapshotAtTheEndOfAQuietStreamIsTheEnd)
+    // Guards against a new VM that never becomes ready: a snapshot is the last record of the stream, and no record lies
+    // between the snapshot's `as_of` and the snapshot. Reading must continue after the snapshot; the reader has already
+    // passed the snapshot's own offset.
+    TEST_F(ConfigFoldTest, ReadingContinuesAfterASnapshotAtTheEndOfTheStream)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
         (void)append(fold_.snapshot());
-        ConfigFold fresh;
-        fresh.startFrom(Offset { 1 });
-        const auto effects = read(fresh, 1);
+        ConfigFold freshFold;
+        freshFold.startFrom(Offset { 1 });
+        const auto effects = applyLog(freshFold, 1);
         EXPECT_EQ(std::get<Restored>(effects.back()).from, Offset { 2 });
-        EXPECT_EQ(fresh.nextOffset(), Offset { 2 });
-        EXPECT_EQ(cost(fresh), 1);
+        EXPECT_EQ(freshFold.nextOffset(), Offset { 2 });
+        EXPECT_EQ(callCostOf(freshFold), 1);
         (void)append(publish(document("desk", 2), Offset { 0 }, 2));
-        (void)read(fresh, 2);
-        EXPECT_EQ(cost(fresh), 2);
+        (void)applyLog(freshFold, 2);
+        EXPECT_EQ(callCostOf(freshFold), 2);
     }
 
-    TEST_F(ConfigFoldTest, ASnapshotWhoseOwnStartHasExpiredIsOfNoUse)
+    TEST_F(ConfigFoldTest, ASnapshotWhoseNextRecordHasExpiredIsNotRestored)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
-        const std::string old = fold_.snapshot();
+        const std::string outdatedSnapshot = fold_.snapshot();
         (void)append(publish(document("desk", 2), Offset { 0 }, 2));
-        (void)append(old);
-        ConfigFold fresh;
-        fresh.startFrom(Offset { 2 });
-        (void)read(fresh, 2);
-        EXPECT_TRUE(fresh.seeking());
-        EXPECT_TRUE(fresh.services().empty());
+        (void)append(outdatedSnapshot);
+        ConfigFold freshFold;
+        freshFold.startFrom(Offset { 2 });
+        (void)applyLog(freshFold, 2);
+        EXPECT_TRUE(freshFold.seeking());
+        EXPECT_TRUE(freshFold.services().empty());
     }
 
-    TEST_F(ConfigFoldTest, ASnapshotOfAnotherStateIsNoticedAndNotTaken)
+    TEST_F(ConfigFoldTest, ASnapshotOfADifferentStateIsReportedAndNotApplied)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
-        ConfigFold astray;
+        ConfigFold diverged;
         std::vector<ConfigEffect> effects;
-        ASSERT_TRUE(astray.apply(Offset { 0 }, publish(document("desk", 9), std::nullopt, 1), effects));
-        EXPECT_FALSE(std::get<SnapshotPassed>(append(astray.snapshot())).agrees);
-        EXPECT_EQ(cost(fold_), 1);
+        ASSERT_TRUE(diverged.apply(Offset { 0 }, publish(document("desk", 9), std::nullopt, 1), effects));
+        EXPECT_FALSE(std::get<SnapshotPassed>(append(diverged.snapshot())).agrees);
+        EXPECT_EQ(callCostOf(fold_), 1);
     }
 
-    TEST_F(ConfigFoldTest, PeersPassRecordsOnOrTheirWholeState)
+    TEST_F(ConfigFoldTest, RecordsForPeersAreRetainedRecordsOrASnapshot)
     {
         std::optional<Offset> replaces;
         const std::string padding(60'000, '#');
@@ -240,32 +239,32 @@
 
         const RetainedRecords state = fold_.recordsFrom(Offset { 0 }, 1'000);
         ASSERT_EQ(state.records.size(), 1U);
-        ConfigFold fresh;
+        ConfigFold freshFold;
         std::vector<ConfigEffect> effects;
-        ASSERT_TRUE(fresh.applyFromPeer(state.first, state.records[0], effects)) << fresh.lastReason();
-        EXPECT_EQ(cost(fresh), 30);
-        EXPECT_EQ(fresh.nextOffset(), Offset { 30 });
+        ASSERT_TRUE(freshFold.applyFromPeer(state.first, state.records[0], effects)) << freshFold.lastReason();
+        EXPECT_EQ(callCostOf(freshFold), 30);
+        EXPECT_EQ(freshFold.nextOffset(), Offset { 30 });
     }
 
-    // Symptom: one VM never learns a revision that all others follow.
-    // Events: a peer sends its state as of offset 1; meanwhile the asker has read offset 0 itself; the message comes
-    // late. Cause: the state was taken for the record at that offset, and the record itself was skipped.
-    TEST_F(ConfigFoldTest, APeersStateNeverStandsInForARecord)
+    // Guards against a VM missing a revision permanently: a peer sends its state as of offset 1, and the message
+    // arrives after the requesting VM has read offset 0 from the log. If the state counted as the record at its offset,
+    // the record itself would be skipped.
+    TEST_F(ConfigFoldTest, APeersStateDoesNotReplaceARecord)
     {
         (void)append(publish(document("desk", 1), std::nullopt, 1));
         const std::string state = fold_.snapshot();
         std::vector<ConfigEffect> effects;
         ASSERT_TRUE(fold_.applyFromPeer(Offset { 0 }, state, effects));
         EXPECT_EQ(fold_.nextOffset(), Offset { 1 });
-        // In the log, a state later than its own place is refused as a record.
-        ConfigFold ahead;
-        (void)read(ahead, 0);
-        ASSERT_TRUE(ahead.apply(Offset { 1 }, publish(document("desk", 2), Offset { 0 }, 2), effects));
-        EXPECT_EQ(std::get<Rejected>(append(ahead.snapshot())).reason, RejectReason::Unreadable);
-        EXPECT_EQ(cost(fold_), 1);
+        // A record in the log with a snapshot of a state later than its own offset is rejected.
+        ConfigFold aheadFold;
+        (void)applyLog(aheadFold, 0);
+        ASSERT_TRUE(aheadFold.apply(Offset { 1 }, publish(document("desk", 2), Offset { 0 }, 2), effects));
+        EXPECT_EQ(std::get<Rejected>(append(aheadFold.snapshot())).reason, RejectReason::Unreadable);
+        EXPECT_EQ(callCostOf(fold_), 1);
     }
 
-    TEST(SnapshotScheduleTest, MostlyOneRouterAppends)
+    TEST(SnapshotScheduleTest, MostlyOneRouterAppendsInAnInterval)
     {
         std::vector<SnapshotSchedule> routers;
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -273,18 +272,18 @@
         }
         int appended = 0;
         for (Instant now { 1s }; now < Instant { 24h }; now += 10s) {
-            bool any = false;
+            bool anyDue = false;
             for (SnapshotSchedule& router : routers) {
-                any = router.due(now) || any;
+                anyDue = router.due(now) || anyDue;
             }
-            if (any) {
+            if (anyDue) {
                 ++appended;
                 for (SnapshotSchedule& router : routers) {
                     router.onSnapshot(now);
                 }
             }
         }
-        EXPECT_GE(appended, 16) << "each within an hour and a half";
+        EXPECT_GE(appended, 16) << "each wait is at most an hour and a half";
         EXPECT_LE(appended, 24);
     }
 
--- a/tests/config/Sample.h
+++ b/tests/config/Sample.h
@@ -4,7 +4,11 @@
 
 namespace swiftlift::config::test {
 
-/** @return A valid document of a plain service; `cost` tells revisions apart. */
+/**
+ * @param service Name of the service.
+ * @param cost Cost of a call in tokens; tests use the cost to distinguish revisions.
+ * @return A valid document of a plain service.
+ */
 [[nodiscard]] inline std::string document(const std::string& service, int cost = 1)
 {
     return "service: " + service
