--- a/include/swiftlift/membership/Membership.h
+++ b/include/swiftlift/membership/Membership.h
@@ -43,6 +43,7 @@
     /**
      * @brief Replaces the known list of VMs.
      * @param vms The platform's complete list of VMs.
+     * @param now Time of receipt.
      */
     void onVmList(const std::vector<ListedVm>& vms, Instant now);
 
@@ -62,7 +63,8 @@
     void setWatched(const std::vector<Incarnation>& watched, Instant now);
 
     /**
-     * @brief Advances timers and elections. Call at least every 50 ms.
+     * @brief Updates suspicions and the choice of witness and remote replicas, and plans heartbeats. Call at least
+     * every 50 ms.
      * @param now Present time.
      * @return Heartbeats to send now, and membership events since the last tick.
      */
@@ -135,14 +137,14 @@
         PeerAddress address;
         HeartbeatFacts facts;
         PeerState state = PeerState::Alive;
-        Instant lastHeard {};
+        Instant lastHeartbeatAt {};
         Instant suspectedAt {};
     };
 
     /** @brief An unknown incarnation that claims the address of a known incarnation. */
     struct Candidate {
         Incarnation incarnation;
-        Instant firstHeard {};
+        Instant firstHeartbeatAt {};
     };
 
     /** @brief A VM in the platform's list. */
@@ -152,8 +154,8 @@
         bool leaving = false;
     };
 
-    /** @brief The peer elected for one role; heartbeats are exchanged with this peer in every period. */
-    struct ElectedPeer {
+    /** @brief The peer selected for one role; heartbeats are exchanged with this peer in every period. */
+    struct SelectedPeer {
         std::optional<Incarnation> peer;
         Instant since {};
 
@@ -164,7 +166,7 @@
     using Peers = std::map<Incarnation, Peer>;
 
     void addPeer(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
-    void contestAddress(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
+    void resolveAddressConflict(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now);
     void replaceIncumbent(Incarnation incumbent, Instant now);
     void updatePeer(Incarnation from, const HeartbeatFacts& facts, Instant now);
     void rememberEnded(Incarnation ended);
@@ -222,13 +224,13 @@
     Rotation domainRotation_;
     Rotation remoteRotation_;
     std::vector<MembershipEvent> events_;
-    ElectedPeer witness_;
-    ElectedPeer remoteReplica_;
-    ElectedPeer secondRemoteReplica_;
+    SelectedPeer witness_;
+    SelectedPeer remoteReplica_;
+    SelectedPeer secondRemoteReplica_;
     std::optional<Instant> firstTick_;
     Instant lastTick_ {};
     /** Silence before this time is not counted: start of the process, or end of its last pause. */
-    Instant timersFrom_ {};
+    Instant silenceCountsFrom_ {};
     Instant nextHeartbeat_ {};
     bool settled_ = false;
     bool selfLeaving_ = false;
--- a/include/swiftlift/membership/MembershipSettings.h
+++ b/include/swiftlift/membership/MembershipSettings.h
@@ -46,7 +46,7 @@
     Duration logReportLifetime = std::chrono::seconds(1);
     /** Whether a peer of another failure domain may be the witness. */
     WitnessPolicy witnessPolicy = WitnessPolicy::OtherDomainWhenAlone;
-    /** Whether remote replicas are elected; the heartbeats with them cost bandwidth between failure domains. */
+    /** Whether remote replicas are chosen; the heartbeats with them cost bandwidth between failure domains. */
     bool remoteReplica = false;
 };
 
--- a/src/membership/Heartbeats.cpp
+++ b/src/membership/Heartbeats.cpp
@@ -124,7 +124,7 @@
 // limit. Silence therefore counts from the start of the watch at the earliest.
 Duration Membership::silenceDuration(Incarnation incarnation, const Peer& peer, Instant now) const
 {
-    Instant since = std::max(peer.lastHeard, timersFrom_);
+    Instant since = std::max(peer.lastHeartbeatAt, silenceCountsFrom_);
     if (const auto watchStart = everyPeriodSince(incarnation)) {
         since = std::max(since, *watchStart);
     }
@@ -138,9 +138,9 @@
     if (const auto found = watched_.find(incarnation); found != watched_.end()) {
         since = found->second;
     }
-    for (const ElectedPeer* elected : { &witness_, &remoteReplica_, &secondRemoteReplica_ }) {
-        if (elected->peer == incarnation) {
-            since = std::max(since, std::optional(elected->since));
+    for (const SelectedPeer* selected : { &witness_, &remoteReplica_, &secondRemoteReplica_ }) {
+        if (selected->peer == incarnation) {
+            since = std::max(since, std::optional(selected->since));
         }
     }
     return since;
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -37,7 +37,7 @@
         return;
     }
     if (incarnationByAddress_.contains(address)) {
-        contestAddress(from, address, facts, now);
+        resolveAddressConflict(from, address, facts, now);
         return;
     }
     addPeer(from, address, facts, now);
@@ -57,13 +57,14 @@
 // late one replaced the present incarnation, the live peer would be ignored until its next restart. So an unknown
 // incarnation replaces the incumbent only after a second heartbeat at least one period later, with none from the
 // incumbent in between: a dead process sends no second heartbeat. A suspected incumbent is replaced immediately.
-void Membership::contestAddress(Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
+void Membership::resolveAddressConflict(
+    Incarnation from, const PeerAddress& address, const HeartbeatFacts& facts, Instant now)
 {
     const Incarnation incumbent = incarnationByAddress_.at(address);
     const bool silent = peers_.at(incumbent).state == PeerState::Suspected;
     const auto found = candidates_.find(address);
     const bool confirmed = found != candidates_.end() && found->second.incarnation == from
-        && now - found->second.firstHeard >= settings_.heartbeatPeriod;
+        && now - found->second.firstHeartbeatAt >= settings_.heartbeatPeriod;
     if (silent || confirmed) {
         replaceIncumbent(incumbent, now);
         addPeer(from, address, facts, now);
@@ -91,7 +92,7 @@
     Peer& peer = peers_.at(from);
     const bool moved = peer.facts.domain != facts.domain || peer.facts.region != facts.region;
     peer.facts = facts;
-    peer.lastHeard = now;
+    peer.lastHeartbeatAt = now;
     candidates_.erase(peer.address);
     if (moved) {
         refreshRotations();
@@ -183,9 +184,9 @@
 {
     if (!firstTick_) {
         firstTick_ = now;
-        timersFrom_ = now;
+        silenceCountsFrom_ = now;
     } else if (const Duration gap = now - lastTick_; gap > settings_.pauseThreshold) {
-        timersFrom_ = now;
+        silenceCountsFrom_ = now;
         events_.emplace_back(SelfPaused { gap });
     }
     lastTick_ = now;
@@ -251,7 +252,7 @@
     witness_.setPeer(best, now);
 }
 
-void Membership::ElectedPeer::setPeer(std::optional<Incarnation> newPeer, Instant now)
+void Membership::SelectedPeer::setPeer(std::optional<Incarnation> newPeer, Instant now)
 {
     if (peer != newPeer) {
         peer = newPeer;
@@ -267,7 +268,7 @@
         return;
     }
     const auto eligible
-        = [this](const ElectedPeer& elected) { return elected.peer && mayBeRemoteReplica(*elected.peer); };
+        = [this](const SelectedPeer& selected) { return selected.peer && mayBeRemoteReplica(*selected.peer); };
     if (!eligible(remoteReplica_)) {
         const std::vector<Incarnation> peers = nearestFirst();
         const auto best = std::ranges::find_if(peers, [this](Incarnation peer) { return mayBeRemoteReplica(peer); });
--- a/src/membership/Queries.cpp
+++ b/src/membership/Queries.cpp
@@ -111,7 +111,7 @@
 {
     for (const Incarnation incarnation : nearestFirst()) {
         const Peer& peer = peers_.at(incarnation);
-        if (peer.facts.logReachable && lastTick_ - peer.lastHeard <= settings_.logReportLifetime) {
+        if (peer.facts.logReachable && lastTick_ - peer.lastHeartbeatAt <= settings_.logReportLifetime) {
             return incarnation;
         }
     }
@@ -135,7 +135,7 @@
 std::optional<Instant> Membership::lastHeard(Incarnation incarnation) const
 {
     const auto found = peers_.find(incarnation);
-    return found == peers_.end() ? std::nullopt : std::optional(found->second.lastHeard);
+    return found == peers_.end() ? std::nullopt : std::optional(found->second.lastHeartbeatAt);
 }
 
 Membership::Counts Membership::counts() const
