--- a/include/swiftlift/base/Finding.h
+++ b/include/swiftlift/base/Finding.h
@@ -5,13 +5,13 @@
 
 namespace swiftlift {
 
-/** Something wrong with an input, and where. Findings are collected and reported together. */
+/** An error in an input file or document, with its position. All findings of one input are reported together. */
 struct Finding {
-    /** File name, or the name of the document. */
+    /** Name of the file or document. */
     std::string source;
-    /** From 1; 0 when the place is the whole input. */
+    /** Line number, from 1; 0 if the finding concerns the whole input. */
     int line = 0;
-    /** From 1; 0 when the place is the whole input. */
+    /** Column number, from 1; 0 if the finding concerns the whole input. */
     int column = 0;
     std::string message;
 };
@@ -19,12 +19,17 @@
 using Findings = std::vector<Finding>;
 
 /**
- * @param finding What was found.
- * @return `source:line:column: message`, without the parts that are not known.
+ * @brief Formats a finding for a log line or a terminal.
+ * @param finding Finding to format.
+ * @return `source:line:column: message`, or `source: message` if the finding concerns the whole input.
  */
 [[nodiscard]] std::string toText(const Finding& finding);
 
-/** @return All of them in one line. */
+/**
+ * @brief Formats several findings for one log line.
+ * @param findings Findings to format.
+ * @return The texts of all findings in one line, separated by `; `; empty if there are no findings.
+ */
 [[nodiscard]] std::string toText(const Findings& findings);
 
 } // namespace swiftlift
--- a/include/swiftlift/base/Ids.h
+++ b/include/swiftlift/base/Ids.h
@@ -16,30 +16,32 @@
 using BudgetId = StrongType<struct BudgetIdTag, std::string>;
 /** Name of a service. */
 using ServiceName = StrongType<struct ServiceNameTag, std::string>;
-/** The caller's own id of a request, unique within its client account. */
+/** Id that the caller gave a request; unique within the client account. */
 using CallerRequestId = StrongType<struct CallerRequestIdTag, std::string>;
-/** One life of one router process: random, never used again. 0 is nobody. */
+/** Random id of one run of a router process, from start to end; never reused. 0 stands for no router. */
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-/** Where a router's peers reach it, as `ip:port`. */
+/** Address at which other routers reach a router, as `ip:port`. */
 using PeerAddress = StrongType<struct PeerAddressTag, std::string>;
-/** A backend server: its address, or the id of one life of it where it says one. */
+/** Id of a backend server: the id of its instance if the server reports an instance id, otherwise its address. */
 using BackendId = StrongType<struct BackendIdTag, std::string>;
-/** Where a backend server is reached, as `ip:port`. */
+/** Network address of a backend server, as `ip:port`. */
 using BackendAddress = StrongType<struct BackendAddressTag, std::string>;
 /** Name of a route of the fleet's configuration. */
 using RouteName = StrongType<struct RouteNameTag, std::string>;
+/** Name of a failure domain. */
 using FailureDomain = StrongType<struct FailureDomainTag, std::string>;
+/** Name of a region. */
 using Region = StrongType<struct RegionTag, std::string>;
 /** Position of a record in a stream of the platform's log. */
 using Offset = StrongType<struct OffsetTag, std::uint64_t>;
 /** Name of a stream of the platform's log. */
 using StreamName = StrongType<struct StreamNameTag, std::string>;
-/** One try of one router to have one request run by one backend server; unique within an incarnation. */
+/** Id of one attempt of a router to run one request on one backend server; unique within an incarnation. */
 using AttemptId = StrongType<struct AttemptIdTag, std::uint64_t>;
-/** A caller's request in progress, as the router's transport numbers it; unique within an incarnation. */
+/** Number that the router's transport assigns to a caller's request in progress; unique within an incarnation. */
 using CallId = StrongType<struct CallIdTag, std::uint64_t>;
 
-/** A budget of a client account. */
+/** Identifies a budget by its client account and its name. */
 struct BudgetRef {
     AccountId account;
     BudgetId budget;
@@ -47,15 +49,16 @@
     [[nodiscard]] auto operator<=>(const BudgetRef&) const = default;
 };
 
-/** A grant: tokens taken from a budget by one incarnation, which alone may lend or spend them. */
+/** Identifies a grant: tokens drawn from a budget by one incarnation. Only that incarnation may lend or spend them. */
 struct GrantId {
     Incarnation holder;
+    /** Number of the grant, unique within its holder. */
     std::uint32_t number = 0;
 
     [[nodiscard]] auto operator<=>(const GrantId&) const = default;
 };
 
-/** 128-bit hash of client account and caller's request id. */
+/** Identifies a caller's request: 128-bit hash of the client account and the caller's request id. */
 struct RequestKey {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -63,7 +66,7 @@
     [[nodiscard]] auto operator<=>(const RequestKey&) const = default;
 };
 
-/** First 128 bits of the SHA-256 of what a request asks for; its id and its caller are not part of it. */
+/** First 128 bits of the SHA-256 of a request's content; request id and caller are not part of the hashed content. */
 struct ContentDigest {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -76,8 +79,9 @@
 template <> struct std::hash<swiftlift::BudgetRef> {
     [[nodiscard]] std::size_t operator()(const swiftlift::BudgetRef& ref) const
     {
-        constexpr std::size_t mix = 0x9E3779B97F4A7C15U;
-        return std::hash<std::string> {}(ref.account.value()) * mix + std::hash<std::string> {}(ref.budget.value());
+        constexpr std::size_t multiplier = 0x9E3779B97F4A7C15U;
+        return std::hash<std::string> {}(ref.account.value()) * multiplier
+            + std::hash<std::string> {}(ref.budget.value());
     }
 };
 
--- a/include/swiftlift/base/Numbers.h
+++ b/include/swiftlift/base/Numbers.h
@@ -11,8 +11,10 @@
 namespace swiftlift {
 
 /**
- * @param base Of the digits.
- * @return The number that is the whole of the text; nothing for any other text, an empty one or a number too large.
+ * @brief Parses a text that consists of one integer and nothing else.
+ * @param text Text to parse.
+ * @param base Base of the digits, 2 to 36.
+ * @return The integer; empty if the text is empty, has other characters, or its value does not fit into `Number`.
  */
 template <std::integral Number> [[nodiscard]] std::optional<Number> parseWhole(std::string_view text, int base = 10)
 {
@@ -21,7 +23,10 @@
     return error == std::errc {} && end == text.data() + text.size() ? std::optional(number) : std::nullopt;
 }
 
-/** @return The number as 16 hexadecimal digits, leading zeros included. */
+/**
+ * @param number Number to format.
+ * @return The number as 16 lower-case hexadecimal digits, including leading zeros.
+ */
 [[nodiscard]] std::string toHex(std::uint64_t number);
 
 } // namespace swiftlift
--- a/include/swiftlift/base/Priority.h
+++ b/include/swiftlift/base/Priority.h
@@ -4,7 +4,7 @@
 
 namespace swiftlift {
 
-/** How urgent a caller calls its request. */
+/** Urgency of a request, as stated by its caller. */
 enum class Priority : std::uint8_t { Interactive, Normal, Batch };
 
 } // namespace swiftlift
--- a/include/swiftlift/base/StrongType.h
+++ b/include/swiftlift/base/StrongType.h
@@ -9,9 +9,9 @@
 namespace swiftlift {
 
 /**
- * @brief A value that can't be mistaken for another one of the same representation.
- * @tparam Tag Distinguishes one strong type from the others.
- * @tparam Value Representation.
+ * @brief Wraps a value in a type of its own, so that values with the same underlying type can't be mixed up.
+ * @tparam Tag Distinguishes this strong type from others with the same underlying type.
+ * @tparam Value Underlying type.
  */
 template <typename Tag, typename Value> class StrongType {
 public:
@@ -24,7 +24,7 @@
     {
     }
 
-    /** @return The representation. */
+    /** @return The wrapped value. */
     [[nodiscard]] constexpr const Value& value() const noexcept { return value_; }
 
     [[nodiscard]] auto operator<=>(const StrongType&) const = default;
@@ -35,16 +35,16 @@
 };
 
 template <typename Tag, typename Value>
-std::ostream& operator<<(std::ostream& out, const StrongType<Tag, Value>& strong)
+std::ostream& operator<<(std::ostream& out, const StrongType<Tag, Value>& wrapped)
 {
-    return out << strong.value();
+    return out << wrapped.value();
 }
 
 } // namespace swiftlift
 
 template <typename Tag, typename Value> struct std::hash<swiftlift::StrongType<Tag, Value>> {
-    [[nodiscard]] std::size_t operator()(const swiftlift::StrongType<Tag, Value>& strong) const
+    [[nodiscard]] std::size_t operator()(const swiftlift::StrongType<Tag, Value>& wrapped) const
     {
-        return std::hash<Value> {}(strong.value());
+        return std::hash<Value> {}(wrapped.value());
     }
 };
--- a/include/swiftlift/base/Units.h
+++ b/include/swiftlift/base/Units.h
@@ -8,7 +8,7 @@
 
 namespace swiftlift {
 
-/** A number of tokens; the unit of budgets, grants and bills. */
+/** Number of tokens; the unit of budgets, grants and bills. */
 class Tokens {
 public:
     constexpr Tokens() = default;
@@ -43,7 +43,7 @@
     std::int64_t count_ = 0;
 };
 
-/** The clock of the decision core. It has no `now()`: time comes in with each event. */
+/** Clock of the decision core. The clock has no `now()`: each event passed to the core carries its time. */
 struct CoreClock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -52,8 +52,9 @@
     static constexpr bool is_steady = true;
 };
 
-/** A moment of the decision core's time; never runs backwards within an incarnation. */
+/** Point in time on the decision core's clock; monotonic within an incarnation. */
 using Instant = CoreClock::time_point;
+/** Time span on the decision core's clock, in microseconds. */
 using Duration = CoreClock::duration;
 
 } // namespace swiftlift
--- a/src/base/Numbers.cpp
+++ b/src/base/Numbers.cpp
@@ -8,8 +8,8 @@
     constexpr int bitsPerDigit = 4;
     constexpr std::size_t length = 16;
     std::string text(length, '0');
-    for (auto place = text.rbegin(); place != text.rend(); ++place) {
-        *place = digits[number & 0xFU];
+    for (auto digit = text.rbegin(); digit != text.rend(); ++digit) {
+        *digit = digits[number & 0xFU];
         number >>= bitsPerDigit;
     }
     return text;
--- a/tests/base/AssertionsTest.cpp
+++ b/tests/base/AssertionsTest.cpp
@@ -5,11 +5,10 @@
 namespace swiftlift {
 namespace {
 
-    // Symptom: a router goes on spending though its invariants are broken, or a Release build fails at a constant that
-    // only an assertion uses.
-    // Events: the project is built with a build type whose usual flags take assertions out.
-    // Cause: the project's flags kept them for one build type only.
-    TEST(Assertions, StayInWhateverTheBuildType) { EXPECT_DEATH(assert(false && "invariant"), "invariant"); }
+    // Assertions have to be compiled in for every build type, including those whose default flags define NDEBUG.
+    // Without assertions, a router keeps spending tokens after an invariant is broken, and a Release build fails at
+    // constants that only an assertion uses.
+    TEST(Assertions, AreEnabledInEveryBuildType) { EXPECT_DEATH(assert(false && "invariant"), "invariant"); }
 
 } // namespace
 } // namespace swiftlift
--- a/tests/base/NumbersTest.cpp
+++ b/tests/base/NumbersTest.cpp
@@ -5,14 +5,14 @@
 namespace swiftlift {
 namespace {
 
-    TEST(NumbersTest, HexadecimalDigitsKeepTheirLeadingZeros)
+    TEST(NumbersTest, ToHexIncludesLeadingZeros)
     {
         EXPECT_EQ(toHex(0), "0000000000000000");
         EXPECT_EQ(toHex(0xA1), "00000000000000a1");
         EXPECT_EQ(toHex(0xFEDCBA9876543210U), "fedcba9876543210");
     }
 
-    TEST(NumbersTest, HexadecimalDigitsReadBack)
+    TEST(NumbersTest, ParseWholeReadsHexadecimalDigits)
     {
         constexpr int base = 16;
         EXPECT_EQ(parseWhole<std::uint64_t>(toHex(0x123456789ABCDEFU), base), 0x123456789ABCDEFU);
