--- a/include/swiftlift/ring/BoundedRing.h
+++ b/include/swiftlift/ring/BoundedRing.h
@@ -11,11 +11,12 @@
 namespace swiftlift::ring {
 
 /**
- * @brief Bounded queue of many writers and many readers; never blocks either side.
- * @tparam T What is handed over.
+ * @brief Bounded queue for any number of writers and readers; neither writing nor reading ever blocks.
+ * @tparam T Type of the queued values.
  */
 template <typename T> class BoundedRing {
 public:
+    /** @param capacity Maximum number of queued values. */
     explicit BoundedRing(std::size_t capacity)
         : queue_(capacity)
         , capacity_(capacity)
@@ -31,13 +32,14 @@
     BoundedRing& operator=(const BoundedRing&) = delete;
 
     /**
-     * @param value Moved from only on success.
-     * @param reserve Places that have to stay free for more urgent writers.
-     * @return Whether there was room.
+     * @brief Appends a value if enough slots are free; never blocks.
+     * @param value Value to append; moved from only on success.
+     * @param reservedSlots Number of slots that have to stay free for more urgent writers.
+     * @return Whether the value was appended.
      */
-    [[nodiscard]] bool tryPush(T& value, std::size_t reserve = 0)
+    [[nodiscard]] bool tryPush(T& value, std::size_t reservedSlots = 0)
     {
-        if (size_.fetch_add(1) + reserve >= capacity_) {
+        if (size_.fetch_add(1) + reservedSlots >= capacity_) {
             size_.fetch_sub(1);
             return false;
         }
@@ -51,21 +53,29 @@
         return true;
     }
 
-    /** As above, for who has no use for what was refused. */
-    [[nodiscard]] bool tryPush(T&& value, std::size_t reserve = 0) { return tryPush(value, reserve); }
+    /**
+     * @brief Appends a temporary value if enough slots are free; never blocks.
+     * @param value Value to append, for callers that do not need the value if it is refused.
+     * @param reservedSlots Number of slots that have to stay free for more urgent writers.
+     * @return Whether the value was appended.
+     */
+    [[nodiscard]] bool tryPush(T&& value, std::size_t reservedSlots = 0) { return tryPush(value, reservedSlots); }
 
+    /** @return The oldest value, removed from the queue; empty if the queue is empty. Never blocks. */
     [[nodiscard]] std::optional<T> tryPop()
     {
-        T* raw = nullptr;
-        if (!queue_.pop(raw)) {
+        T* node = nullptr;
+        if (!queue_.pop(node)) {
             return std::nullopt;
         }
         size_.fetch_sub(1);
-        const std::unique_ptr<T> item(raw);
+        const std::unique_ptr<T> item(node);
         return std::move(*item);
     }
 
+    /** @return Number of queued values; counts values whose push is in progress. */
     [[nodiscard]] std::size_t size() const noexcept { return size_.load(); }
+    /** @return Maximum number of queued values. */
     [[nodiscard]] std::size_t capacity() const noexcept { return capacity_; }
 
 private:
--- a/include/swiftlift/ring/Inbox.h
+++ b/include/swiftlift/ring/Inbox.h
@@ -12,24 +12,26 @@
 namespace swiftlift::ring {
 
 /**
- * @brief A thread's bounded ring together with what wakes that thread.
- * @tparam T What the thread is handed.
+ * @brief Bounded queue of values for one reading thread, with a wake-up signal for that thread.
+ * @tparam T Type of the queued values.
  */
 template <typename T> class Inbox {
 public:
+    /** @param capacity Maximum number of queued values. */
     explicit Inbox(std::size_t capacity)
         : ring_(capacity)
     {
     }
 
     /**
-     * @param value Moved from only on success.
-     * @param reserve Places that have to stay free for more urgent writers.
-     * @return Whether there was room.
+     * @brief Appends a value and wakes the reader, if enough slots are free; never blocks.
+     * @param value Value to append; moved from only on success.
+     * @param reservedSlots Number of slots that have to stay free for more urgent writers.
+     * @return Whether the value was appended.
      */
-    [[nodiscard]] bool tryPush(T& value, std::size_t reserve = 0)
+    [[nodiscard]] bool tryPush(T& value, std::size_t reservedSlots = 0)
     {
-        if (!ring_.tryPush(value, reserve)) {
+        if (!ring_.tryPush(value, reservedSlots)) {
             refused_.fetch_add(1);
             return false;
         }
@@ -37,19 +39,31 @@
         return true;
     }
 
-    /** As above, for who has no use for what was refused. */
-    [[nodiscard]] bool tryPush(T&& value, std::size_t reserve = 0) { return tryPush(value, reserve); }
+    /**
+     * @brief Appends a temporary value and wakes the reader, if enough slots are free; never blocks.
+     * @param value Value to append, for callers that do not need the value if it is refused.
+     * @param reservedSlots Number of slots that have to stay free for more urgent writers.
+     * @return Whether the value was appended.
+     */
+    [[nodiscard]] bool tryPush(T&& value, std::size_t reservedSlots = 0) { return tryPush(value, reservedSlots); }
 
-    /** As tryPush() for what may be lost, such as figures and messages between routers. */
+    /**
+     * @brief Appends a value and wakes the reader, or drops the value if the queue is full.
+     * @param value Value whose loss is acceptable, such as a metric or a message between routers.
+     */
     void pushOrDrop(T&& value) { static_cast<void>(tryPush(value)); }
 
+    /** @return The oldest value, removed from the queue; empty if the queue is empty. Never blocks. */
     [[nodiscard]] std::optional<T> tryPop() { return ring_.tryPop(); }
 
+    /** @return The signal on which the reading thread waits. */
     [[nodiscard]] Wakeup& wakeup() noexcept { return wakeup_; }
+    /** @return Number of queued values. */
     [[nodiscard]] std::size_t size() const noexcept { return ring_.size(); }
+    /** @return Maximum number of queued values. */
     [[nodiscard]] std::size_t capacity() const noexcept { return ring_.capacity(); }
 
-    /** @return How often the ring was full when somebody wanted to push. */
+    /** @return Number of pushes refused since construction because too few slots were free. */
     [[nodiscard]] std::uint64_t refused() const noexcept { return refused_.load(); }
 
 private:
--- a/include/swiftlift/ring/Outbox.h
+++ b/include/swiftlift/ring/Outbox.h
@@ -9,21 +9,24 @@
 namespace swiftlift::ring {
 
 /**
- * @brief One thread's end of another one's ring, for what must arrive: it waits here, in order, while the ring is full.
+ * @brief Writes values that must not be lost into another thread's inbox; keeps them in order while the inbox is full.
  *
- * What goes wrong without it: the end of an attempt, or the reply to a caller, finds the ring full and is lost; the
- * caller then waits until its deadline. A writer that blocked instead would stop every other stream. The queue is
- * bounded by what the writer has in progress, since each call and each attempt makes a handful of such items.
+ * If the end of an attempt or the reply to a caller were dropped at a full inbox, the caller would wait until its
+ * deadline. If the writer blocked instead, it would stop every other stream that it serves. The queue has no limit of
+ * its own: its length is bounded by the writer's calls and attempts in progress, each of which pushes only a handful of
+ * values. An outbox is used by one thread only.
  *
- * @tparam T What is handed over.
+ * @tparam T Type of the values.
  */
 template <typename T> class Outbox {
 public:
+    /** @param inbox Inbox of the receiving thread; must outlive the outbox. */
     explicit Outbox(Inbox<T>& inbox)
         : inbox_(inbox)
     {
     }
 
+    /** @brief Appends a value to the inbox, or queues it if the inbox is full or earlier values are still queued. */
     void push(T&& value)
     {
         if (!waiting_.empty() || !inbox_.tryPush(value)) {
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Hands over what waits, as far as there is room. To be called now and then. */
+    /** @brief Moves queued values to the inbox until the inbox is full. The owner has to call this periodically. */
     void flush()
     {
         while (!waiting_.empty() && inbox_.tryPush(waiting_.front())) {
@@ -39,6 +42,7 @@
         }
     }
 
+    /** @return Number of values queued because the inbox was full. */
     [[nodiscard]] std::size_t waiting() const noexcept { return waiting_.size(); }
 
 private:
--- a/include/swiftlift/ring/Wakeup.h
+++ b/include/swiftlift/ring/Wakeup.h
@@ -6,9 +6,9 @@
 namespace swiftlift::ring {
 
 /**
- * @brief Wakes the thread at the reading end of a ring, by an event file descriptor.
+ * @brief Wakes the thread that reads a queue, through an event file descriptor (eventfd).
  *
- * One mechanism for all threads: poll(2), ZeroMQ's poller and Asio all wait on a descriptor beside their own.
+ * All threads use a descriptor because poll(2), ZeroMQ's poller and Asio can all wait on an additional descriptor.
  */
 class Wakeup {
 public:
@@ -17,15 +17,26 @@
     Wakeup(const Wakeup&) = delete;
     Wakeup& operator=(const Wakeup&) = delete;
 
-    /** Wakes the reader; costs a system call only when the reader has not been woken already. */
+    /**
+     * @brief Wakes the reader; makes a system call only if there is no earlier signal that the reader hasn't consumed.
+     */
     void signal() noexcept;
 
-    /** To be called by the reader before it empties the ring, so that what is pushed meanwhile wakes it again. */
+    /**
+     * @brief Clears the signal.
+     *
+     * The reader has to call this before it empties the queue, so that a push that happens meanwhile signals again.
+     */
     void consume() noexcept;
 
-    /** @return Whether it was signalled within `limit`. */
-    [[nodiscard]] bool waitFor(std::chrono::milliseconds limit) const noexcept;
+    /**
+     * @brief Blocks until the next signal or the timeout, without clearing the signal.
+     * @param timeout Longest time to wait.
+     * @return Whether a signal is pending.
+     */
+    [[nodiscard]] bool waitFor(std::chrono::milliseconds timeout) const noexcept;
 
+    /** @return The event file descriptor, readable while a signal is pending; owned by this object. */
     [[nodiscard]] int descriptor() const noexcept { return descriptor_; }
 
 private:
--- a/src/ring/Wakeup.cpp
+++ b/src/ring/Wakeup.cpp
@@ -12,7 +12,7 @@
 Wakeup::Wakeup()
     : descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC))
 {
-    assert(descriptor_ >= 0 && "no event file descriptor could be had");
+    assert(descriptor_ >= 0 && "eventfd() returned no event file descriptor");
 }
 
 Wakeup::~Wakeup() { ::close(descriptor_); }
@@ -22,21 +22,21 @@
     if (signalled_.exchange(true)) {
         return;
     }
-    const std::uint64_t one = 1;
-    [[maybe_unused]] const auto written = ::write(descriptor_, &one, sizeof one);
+    const std::uint64_t increment = 1;
+    [[maybe_unused]] const auto bytesWritten = ::write(descriptor_, &increment, sizeof increment);
 }
 
 void Wakeup::consume() noexcept
 {
     std::uint64_t count = 0;
-    [[maybe_unused]] const auto got = ::read(descriptor_, &count, sizeof count);
+    [[maybe_unused]] const auto bytesRead = ::read(descriptor_, &count, sizeof count);
     signalled_.store(false);
 }
 
-bool Wakeup::waitFor(std::chrono::milliseconds limit) const noexcept
+bool Wakeup::waitFor(std::chrono::milliseconds timeout) const noexcept
 {
-    pollfd waited { descriptor_, POLLIN, 0 };
-    return ::poll(&waited, 1, static_cast<int>(limit.count())) > 0;
+    pollfd descriptor { descriptor_, POLLIN, 0 };
+    return ::poll(&descriptor, 1, static_cast<int>(timeout.count())) > 0;
 }
 
 } // namespace swiftlift::ring
--- a/tests/ring/InboxTest.cpp
+++ b/tests/ring/InboxTest.cpp
@@ -7,7 +7,7 @@
 
 namespace swiftlift::ring {
 
-TEST(BoundedRing, RefusesWhatIsOverItsCapacityOrItsReserve)
+TEST(BoundedRing, RefusesPushesBeyondCapacityOrIntoReservedSlots)
 {
     BoundedRing<int> ring(4);
     EXPECT_TRUE(ring.tryPush(1, 2));
@@ -20,7 +20,7 @@
     EXPECT_TRUE(ring.tryPush(5));
 }
 
-TEST(BoundedRing, KeepsWhatItRefused)
+TEST(BoundedRing, LeavesARefusedValueUnchanged)
 {
     BoundedRing<std::string> ring(1);
     EXPECT_TRUE(ring.tryPush("first"));
@@ -29,17 +29,17 @@
     EXPECT_EQ(second, "second");
 }
 
-// Symptom: a thread sleeps while something waits in its ring. A writer pushes between the reader's last look at the
-// ring and its clearing of the signal.
-TEST(Inbox, NoPushGoesUnnoticed)
+// Guards against a reader that sleeps while its inbox holds a value. This would happen if a push between the reader's
+// last tryPop() and its clearing of the signal left no signal behind.
+TEST(Inbox, EveryPushWakesTheReader)
 {
-    constexpr int writers = 4;
-    constexpr int each = 20'000;
+    constexpr int writerCount = 4;
+    constexpr int pushesPerWriter = 20'000;
     Inbox<int> inbox(1024);
     std::vector<std::jthread> threads;
-    for (int writer = 0; writer < writers; ++writer) {
+    for (int writer = 0; writer < writerCount; ++writer) {
         threads.emplace_back([&inbox] {
-            for (int count = 0; count < each; ++count) {
+            for (int count = 0; count < pushesPerWriter; ++count) {
                 while (!inbox.tryPush(1)) {
                     std::this_thread::yield();
                 }
@@ -47,7 +47,7 @@
         });
     }
     int received = 0;
-    while (received < writers * each) {
+    while (received < writerCount * pushesPerWriter) {
         ASSERT_TRUE(inbox.wakeup().waitFor(std::chrono::seconds(30)));
         inbox.wakeup().consume();
         while (inbox.tryPop()) {
@@ -56,7 +56,7 @@
     }
 }
 
-TEST(Outbox, HoldsInOrderWhatTheRingHasNoRoomFor)
+TEST(Outbox, QueuesValuesInOrderWhileTheInboxIsFull)
 {
     Inbox<int> inbox(2);
     Outbox<int> outbox(inbox);
