--- a/include/swiftlift/wire/PeerCodec.h
+++ b/include/swiftlift/wire/PeerCodec.h
@@ -10,21 +10,30 @@
 
 namespace swiftlift::wire {
 
-/** A message between routers, with who sent it and for whom it is. */
+/** A message between routers, with its sender and receiver. */
 struct PeerEnvelope {
+    /** Incarnation of the sending router; never 0 in a valid envelope. */
     Incarnation sender;
+    /** Address at which other routers reach the sending router. */
     PeerAddress senderAddress;
-    /** 0: whoever listens there. */
+    /** Incarnation of the receiving router; 0 addresses any router that listens at the destination address. */
     Incarnation receiver;
     node::PeerMessage message;
-    /** Of messages on grants and loans: the shard of the ledger that numbers them. */
+    /** Ledger shard in which the grants and loans of the message are numbered; unused by other messages. */
     std::uint32_t shard = 0;
 };
 
-/** @return The envelope as bytes of `proto/peer.proto`. */
+/**
+ * @param envelope Envelope to encode.
+ * @return The envelope as a serialized `Envelope` of `proto/peer.proto`.
+ */
 [[nodiscard]] std::string encodePeerEnvelope(const PeerEnvelope& envelope);
 
-/** @return The envelope; nothing when the bytes are none, or of a kind that this release doesn't know. */
+/**
+ * @param bytes Serialized `Envelope` of `proto/peer.proto`.
+ * @return The envelope; empty if the bytes are malformed, name no sender, or hold a kind of message that this release
+ * does not support.
+ */
 [[nodiscard]] std::optional<PeerEnvelope> decodePeerEnvelope(std::string_view bytes);
 
 } // namespace swiftlift::wire
--- a/src/wire/PeerReader.h
+++ b/src/wire/PeerReader.h
@@ -7,7 +7,10 @@
 
 namespace swiftlift::wire::internal {
 
-/** @return The envelope's body; nothing when it has none that this release knows. */
+/**
+ * @param in Parsed envelope.
+ * @return The message in the envelope; empty if the envelope has no message of a kind that this release supports.
+ */
 [[nodiscard]] std::optional<node::PeerMessage> readMessage(const proto::peer::Envelope& in);
 
 } // namespace swiftlift::wire::internal
--- a/src/wire/PeerWriter.h
+++ b/src/wire/PeerWriter.h
@@ -5,7 +5,7 @@
 
 namespace swiftlift::wire::internal {
 
-// Each writes one message as the envelope's body.
+// Each overload stores a message of its kind in the envelope.
 void write(const node::Heartbeat& message, proto::peer::Envelope& out);
 void write(const node::RaiseCeilings& message, proto::peer::Envelope& out);
 void write(const node::CeilingsAcked& message, proto::peer::Envelope& out);
--- a/tests/wire/PeerCodecTest.cpp
+++ b/tests/wire/PeerCodecTest.cpp
@@ -10,8 +10,8 @@
     const BudgetRef budget { AccountId("acme"), BudgetId("desk") };
     const std::vector<ledger::Ceiling> ceilings { { grant, Tokens(500) }, { { Incarnation(12), 4 }, Tokens(0) } };
 
-    /** One message of every kind. */
-    std::vector<node::PeerMessage> messages()
+    /** @return One message of each kind, in the order of the alternatives of `node::PeerMessage`. */
+    std::vector<node::PeerMessage> makeMessages()
     {
         node::Heartbeat heartbeat;
         heartbeat.domain = FailureDomain("regina-a");
@@ -30,12 +30,13 @@
 
 } // namespace
 
-// Each kind has fields of its own, so what is compared is the bytes: a field that got lost would not be there again.
-TEST(PeerCodec, EveryKindOfMessageComesBackAsItWent)
+// Compares the encoded bytes instead of the fields, which differ from kind to kind: a field that decoding or encoding
+// loses is missing from the second encoding.
+TEST(PeerCodec, RoundTripPreservesEveryKindOfMessage)
 {
-    const auto all = messages();
-    ASSERT_EQ(all.size(), std::variant_size_v<node::PeerMessage>);
-    for (const auto& message : all) {
+    const auto allMessages = makeMessages();
+    ASSERT_EQ(allMessages.size(), std::variant_size_v<node::PeerMessage>);
+    for (const auto& message : allMessages) {
         const PeerEnvelope envelope { Incarnation(1), PeerAddress("127.0.1.1:7400"), Incarnation(2), message };
         const std::string bytes = encodePeerEnvelope(envelope);
         const auto decoded = decodePeerEnvelope(bytes);
@@ -48,29 +49,29 @@
     }
 }
 
-TEST(PeerCodec, FieldsKeepTheirMeaning)
+TEST(PeerCodec, RoundTripPreservesFieldValues)
 {
-    const auto all = messages();
+    const auto allMessages = makeMessages();
     const auto roundTrip = [](const node::PeerMessage& message) {
         return decodePeerEnvelope(encodePeerEnvelope({ Incarnation(1), PeerAddress("a"), Incarnation(), message }));
     };
-    const auto given = std::get<node::LoanGiven>(roundTrip(all[5])->message);
+    const auto given = std::get<node::LoanGiven>(roundTrip(allMessages[5])->message);
     EXPECT_EQ(given.budget, budget);
     EXPECT_EQ(given.grant, grant);
     EXPECT_EQ(given.amount, Tokens(6));
-    EXPECT_EQ(std::get<node::CeilingsAcked>(roundTrip(all[2])->message).ceilings, ceilings);
-    EXPECT_EQ(std::get<node::Records>(roundTrip(all[10])->message).records.front(), std::string("\0a", 2));
-    const auto heartbeat = std::get<node::Heartbeat>(roundTrip(all[0])->message);
+    EXPECT_EQ(std::get<node::CeilingsAcked>(roundTrip(allMessages[2])->message).ceilings, ceilings);
+    EXPECT_EQ(std::get<node::Records>(roundTrip(allMessages[10])->message).records.front(), std::string("\0a", 2));
+    const auto heartbeat = std::get<node::Heartbeat>(roundTrip(allMessages[0])->message);
     EXPECT_TRUE(heartbeat.stopping);
     EXPECT_FALSE(heartbeat.logReachable);
     EXPECT_EQ(heartbeat.positions.front().next, Offset(7));
 }
 
-TEST(PeerCodec, WhatIsNoEnvelopeIsRefused)
+TEST(PeerCodec, RefusesBytesThatAreNoValidEnvelope)
 {
     EXPECT_FALSE(decodePeerEnvelope("\xFF\xFF\xFF garbage"));
     EXPECT_FALSE(decodePeerEnvelope(""));
-    // Nobody has sent it.
+    // An envelope whose sender is 0.
     EXPECT_FALSE(decodePeerEnvelope(
         encodePeerEnvelope({ Incarnation(), PeerAddress("a"), Incarnation(), node::LoanDoneAcked { 1 } })));
 }
