--- a/src/logging/JsonLog.cpp
+++ b/src/logging/JsonLog.cpp
@@ -20,11 +20,15 @@
 
     using Json = nlohmann::ordered_json;
 
+    /** Maximum wait of the writing thread for new lines, after which it also checks whether it has to stop. */
     constexpr std::chrono::milliseconds idleWait { 500 };
-    /** Lines gathered into one write: a wake-up and four system calls for each line were half of what a request cost.
+    /**
+     * How long lines are collected for one write. Writing each line separately costs a wake-up and four system calls
+     * per line, half of the total cost of a request.
      */
-    constexpr std::chrono::milliseconds gatherTime { 50 };
+    constexpr std::chrono::milliseconds batchTime { 50 };
 
+    /** A formatted line that is queued for writing. */
     struct Line {
         Level level = Level::Info;
         std::string text;
@@ -45,7 +49,7 @@
         return "info";
     }
 
-    std::string hexadecimal(std::uint64_t number)
+    std::string toHexText(std::uint64_t number)
     {
         std::array<char, 17> text {};
         std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
@@ -55,49 +59,55 @@
 } // namespace
 
 struct JsonLog::State {
-    explicit State(JsonLogSettings given)
-        : settings(std::move(given))
-        , least(settings.level)
+    explicit State(JsonLogSettings initialSettings)
+        : settings(std::move(initialSettings))
+        , minLevel(settings.level)
         , inbox(settings.capacity)
     {
     }
 
+    /** @brief Configures the logging library to write to the file or to standard output. */
     void open();
+    /** @brief Main loop of the writing thread. */
     void run();
+    /** @brief Writes all queued lines. */
     void drain();
+    /** @brief Logs the number of lines dropped since the last report, if any. */
     void reportDropped();
+    /** @return The line as JSON text. */
     [[nodiscard]] std::string compose(Level level, std::string_view kind, const Fields& fields) const;
 
     JsonLogSettings settings;
-    std::atomic<Level> least;
+    std::atomic<Level> minLevel;
     ring::Inbox<Line> inbox;
     std::atomic<std::uint64_t> incarnation = 0;
     std::atomic<std::uint64_t> writtenLines = 0;
     std::atomic<bool> stopping = false;
-    std::uint64_t droppedReported = 0;
-    bool usable = true;
+    /** Number of dropped lines reported so far. */
+    std::uint64_t reportedDrops = 0;
+    bool isUsable = true;
     std::string loggerName;
     std::thread thread;
 };
 
 void JsonLog::State::open()
 {
-    // Loggers of the library are process-wide; each log gets one of its own.
-    static std::atomic<int> logs = 0;
-    loggerName = "swiftlift-" + std::to_string(logs.fetch_add(1));
+    // The logging library registers loggers by name for the whole process, so each log needs a logger name of its own.
+    static std::atomic<int> logCount = 0;
+    loggerName = "swiftlift-" + std::to_string(logCount.fetch_add(1));
     const bool toFile = settings.file != "-";
     if (toFile) {
         std::FILE* probe = std::fopen(settings.file.c_str(), "a");
-        usable = probe != nullptr;
-        if (usable) {
+        isUsable = probe != nullptr;
+        if (isUsable) {
             std::fclose(probe);
         }
     }
     el::Configurations configuration;
     configuration.setGlobally(el::ConfigurationType::Format, "%msg");
     configuration.setGlobally(el::ConfigurationType::ToStandardOutput, toFile ? "false" : "true");
-    configuration.setGlobally(el::ConfigurationType::ToFile, toFile && usable ? "true" : "false");
-    if (toFile && usable) {
+    configuration.setGlobally(el::ConfigurationType::ToFile, toFile && isUsable ? "true" : "false");
+    if (toFile && isUsable) {
         configuration.setGlobally(el::ConfigurationType::Filename, settings.file);
     }
     el::Loggers::getLogger(loggerName);
@@ -108,7 +118,7 @@
 {
     while (!stopping.load()) {
         if (inbox.wakeup().waitFor(idleWait) && !stopping.load()) {
-            std::this_thread::sleep_for(gatherTime);
+            std::this_thread::sleep_for(batchTime);
         }
         inbox.wakeup().consume();
         drain();
@@ -118,14 +128,14 @@
 
 void JsonLog::State::drain()
 {
-    std::string gathered;
+    std::string batch;
     std::uint64_t count = 0;
     while (const auto line = inbox.tryPop()) {
-        gathered += (gathered.empty() ? "" : "\n") + line->text;
+        batch += (batch.empty() ? "" : "\n") + line->text;
         ++count;
     }
     if (count > 0) {
-        CLOG(INFO, loggerName.c_str()) << gathered;
+        CLOG(INFO, loggerName.c_str()) << batch;
         writtenLines.fetch_add(count);
     }
     reportDropped();
@@ -133,10 +143,10 @@
 
 void JsonLog::State::reportDropped()
 {
-    if (const auto now = inbox.refused(); now != droppedReported) {
-        const auto lost = static_cast<std::int64_t>(now - droppedReported);
-        droppedReported = now;
-        CLOG(INFO, loggerName.c_str()) << compose(Level::Warning, "log_dropped", { { "lines", lost } });
+    if (const auto totalDrops = inbox.refused(); totalDrops != reportedDrops) {
+        const auto newDrops = static_cast<std::int64_t>(totalDrops - reportedDrops);
+        reportedDrops = totalDrops;
+        CLOG(INFO, loggerName.c_str()) << compose(Level::Warning, "log_dropped", { { "lines", newDrops } });
     }
 }
 
@@ -147,9 +157,9 @@
     json["level"] = toText(level);
     json["kind"] = kind;
     json["vm"] = settings.vm;
-    json["incarnation"] = hexadecimal(incarnation.load());
+    json["incarnation"] = toHexText(incarnation.load());
     for (const auto& [name, value] : fields) {
-        std::visit([&json, &name = name](const auto& plain) { json[name] = plain; }, value);
+        std::visit([&json, &name = name](const auto& fieldValue) { json[name] = fieldValue; }, value);
     }
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -168,15 +178,15 @@
     state_->thread.join();
 }
 
-bool JsonLog::isOpen() const noexcept { return state_->usable; }
+bool JsonLog::isOpen() const noexcept { return state_->isUsable; }
 
-void JsonLog::setLevel(Level level) noexcept { state_->least.store(level); }
+void JsonLog::setLevel(Level level) noexcept { state_->minLevel.store(level); }
 
 void JsonLog::setIncarnation(std::uint64_t incarnation) noexcept { state_->incarnation.store(incarnation); }
 
 void JsonLog::write(Level level, std::string_view kind, const Fields& fields)
 {
-    if (level < state_->least.load()) {
+    if (level < state_->minLevel.load()) {
         return;
     }
     state_->inbox.pushOrDrop({ level, state_->compose(level, kind, fields) });
--- a/tests/logging/JsonLogTest.cpp
+++ b/tests/logging/JsonLogTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    /** @return A path not used before: easylogging++ keeps a file open, by its name, for the rest of the process. */
+    /** @return An unused path. Paths can't be reused because easylogging++ keeps a file open until the process ends. */
     std::string newPath(const std::string& name)
     {
         static int count = 0;
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(JsonLog, WritesOneObjectALine)
+TEST(JsonLog, WritesOneJsonObjectPerLine)
 {
     const std::string path = newPath("swiftlift-log-");
     {
@@ -55,9 +55,9 @@
     std::filesystem::remove(path);
 }
 
-// Symptom: the router stands still because nobody reads its log. The log is a pipe whose reader has stopped; the lines
-// fill the pipe, then the ring. Whoever writes must go on, and the lost lines must be told.
-TEST(JsonLog, SlowConsumerCostsLinesButBlocksNobody)
+// Guards against a router that blocks because the consumer of its log has stopped reading. The log is a pipe here;
+// lines fill first the pipe, then the queue. Writing threads must not block, and the dropped lines must be reported.
+TEST(JsonLog, SlowConsumerCausesDroppedLinesInsteadOfBlocking)
 {
     const std::string path = newPath("swiftlift-pipe-");
     ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0);
@@ -66,16 +66,16 @@
     std::string text;
     {
         JsonLog log({ path, Level::Info, "vm", 16 });
-        const std::string filling(1000, 'x');
+        const std::string padding(1000, 'x');
         while (log.dropped() == 0) {
-            log.write(Level::Info, "line", { { "filling", filling } });
+            log.write(Level::Info, "line", { { "filling", padding } });
         }
         std::array<char, 65536> bytes {};
         while (text.find("log_dropped") == std::string::npos) {
-            pollfd waited { reader, POLLIN, 0 };
-            ASSERT_EQ(::poll(&waited, 1, 30'000), 1);
-            const auto got = ::read(reader, bytes.data(), bytes.size());
-            text.append(bytes.data(), got > 0 ? static_cast<std::size_t>(got) : 0);
+            pollfd descriptor { reader, POLLIN, 0 };
+            ASSERT_EQ(::poll(&descriptor, 1, 30'000), 1);
+            const auto bytesRead = ::read(reader, bytes.data(), bytes.size());
+            text.append(bytes.data(), bytesRead > 0 ? static_cast<std::size_t>(bytesRead) : 0);
         }
     }
     EXPECT_NE(text.find("log_dropped"), std::string::npos);
