--- a/include/swiftlift/settings/CtlSettings.h
+++ b/include/swiftlift/settings/CtlSettings.h
@@ -14,31 +14,37 @@
 
 /** Settings of `swiftliftctl`; see docs/SETTINGS.md. */
 struct CtlSettings {
-    /** Name under which changes are published, for whoever loses a race. */
+    /** Author recorded with published changes; shown to an operator whose concurrent change is rejected. */
     std::string author = "operator";
-    /** The platform's log, in the order in which they are tried. */
+    /** Endpoints of the platform's log, in the order in which they are tried. */
     std::vector<Endpoint> logEndpoints;
-    /** How long one call of the log may take. */
+    /** Timeout of one call to the platform's log. */
     Duration logTimeout = std::chrono::seconds(2);
-    /** How long a change is repeated and read back before its outcome is called unknown. */
+    /** How long a change is retried and read back before its outcome is reported as unknown. */
     Duration logPatience = std::chrono::seconds(10);
-    /** Number of streams `ledger-0` and up; the same as the routers'. */
+    /** Number of ledger shards, that is, of streams `ledger-0` and up; has to be equal to that of the routers. */
     std::uint32_t ledgerShards = 1;
-    /** `operators.listen` of the routers. */
+    /** Endpoints that the routers serve to operators (the routers' setting `operators.listen`). */
     std::vector<Endpoint> routers;
-    /** How long one router's answer may take. */
+    /** Timeout of one request to a router. */
     Duration routerTimeout = std::chrono::seconds(1);
 };
 
 /**
- * @brief Reads and checks the settings of `swiftliftctl`. Never throws, whatever the file holds.
+ * @brief Reads and checks the settings of `swiftliftctl`. Never throws, whatever the content of the file.
  * @param file Path of the YAML file.
- * @param findings Takes all that is wrong, each with line and column.
- * @return The settings; nothing when anything was found.
+ * @param findings Receives a finding with line and column for each error.
+ * @return The settings; empty if the file has errors.
  */
 [[nodiscard]] std::optional<CtlSettings> readCtlSettings(const std::string& file, Findings& findings);
 
-/** @brief As readCtlSettings(), of a text in memory. */
+/**
+ * @brief Parses and checks the settings of `swiftliftctl`. Never throws, whatever the text.
+ * @param text The whole YAML document.
+ * @param source Name of the document, for the findings.
+ * @param findings Receives a finding with line and column for each error.
+ * @return The settings; empty if the text has errors.
+ */
 [[nodiscard]] std::optional<CtlSettings> parseCtlSettings(
     std::string_view text, const std::string& source, Findings& findings);
 
--- a/include/swiftlift/settings/Endpoint.h
+++ b/include/swiftlift/settings/Endpoint.h
@@ -6,7 +6,7 @@
 
 namespace swiftlift::settings {
 
-/** Where something listens, as `ip:port`, both numbers. */
+/** Address of a listener as `ip:port`, a numeric IPv4 address and a port number. */
 using Endpoint = StrongType<struct EndpointTag, std::string>;
 
 } // namespace swiftlift::settings
--- a/include/swiftlift/settings/Names.h
+++ b/include/swiftlift/settings/Names.h
@@ -5,8 +5,10 @@
 namespace swiftlift::settings {
 
 /**
- * @return Whether this can name a client account, budget, service, model, failure domain or region: 1 to 64 letters,
- * digits, dots, dashes and underscores, the first one a letter or digit.
+ * @brief Checks a name of a client account, budget, service, model, failure domain or region.
+ * @param text Name to check.
+ * @return Whether the text has 1 to 64 letters, digits, dots, dashes and underscores, and starts with a letter or
+ * digit.
  */
 [[nodiscard]] bool isName(std::string_view text) noexcept;
 
--- a/include/swiftlift/settings/RouterSettings.h
+++ b/include/swiftlift/settings/RouterSettings.h
@@ -14,69 +14,81 @@
 
 namespace swiftlift::settings {
 
-/** How a router holds prepaid tokens. */
+/** Policy by which routers hold prepaid tokens. */
 enum class LedgerPolicy : std::uint8_t { Grants, StaticSplit, AppendPerRequest };
 
-/** How a router chooses among backend servers. */
+/** Policy by which a router chooses a backend server. */
 enum class RoutingPolicy : std::uint8_t { Affinity, Rendezvous, Random, RoundRobin, LeastLoad };
 
-/** What a router speaks with callers, backend servers, operators and the log. */
+/** Set of protocols that a router uses with callers, backend servers, operators and the log. */
 enum class SpokenDialect : std::uint8_t {
-    /** The project's own protocols, see docs/PROTOCOLS.md. */
+    /** Protocols of this project; see docs/PROTOCOLS.md. */
     Native,
-    /** Those of the users' platform, see docs/PLATFORM.md. */
+    /** Protocols of the users' platform; see docs/PLATFORM.md. */
     Platform,
 };
 
+/** Severity of log lines, in ascending order. */
 enum class LogLevel : std::uint8_t { Debug, Info, Warning, Error };
 
-/** Which VM this router is. */
+/** Address, location and network link of the router's VM. */
 struct VmSettings {
-    /** Where other routers reach this one. */
+    /** Address at which other routers reach this router. */
     PeerAddress peer;
     FailureDomain domain;
     Region region;
-    /** What its link carries each way, in Mbit/s. 0: not known, and taken to be enough. */
+    /** Bandwidth of the VM's network link in each direction, in Mbit/s; 0: unknown, treated as unlimited. */
     double bandwidth = 0;
 };
 
+/** How a router reaches other routers. */
 struct PeerSettings {
-    /** Routers to speak to before the VM list has been read. */
+    /** Addresses of routers to contact before the VM list has been read. */
     std::vector<PeerAddress> seeds;
-    /** Peers that are reached by way of another address, such as a forwarder. */
+    /** Maps addresses of peers to the endpoints to connect to instead, such as those of a forwarder. */
     std::map<PeerAddress, Endpoint> via;
 };
 
+/** How routers hold tokens and write the ledger. */
 struct LedgerSettings {
-    /** Number of streams `ledger-0` and up. */
+    /** Number of ledger shards, that is, of streams `ledger-0` and up. */
     std::uint32_t shards = 1;
     LedgerPolicy policy = LedgerPolicy::Grants;
-    /** Of `static_split`: into how many equal parts a budget is split. */
+    /** Only for policy `static_split`: number of equal parts that each budget is split into. */
     std::uint32_t splitWays = 8;
-    /** Of `grants`: holdings are drawn when they last for less than this, and up to the other one. 0: the services say.
+    /**
+     * Only for policy `grants`: a router draws tokens when its free tokens of a budget cover the current demand for
+     * less than this time.
      */
     Duration lowWatermark {};
+    /**
+     * Only for policy `grants`: a draw raises the free tokens to the demand of this time. 0: both watermarks follow
+     * from the weightings of the services.
+     */
     Duration highWatermark {};
-    /** Of `grants`: part of each budget that the routers together hold before there is demand. */
+    /** Only for policy `grants`: preallocation of all routers together, in percent of each budget. */
     std::uint32_t preallocationPercent = 0;
-    /** How long the log keeps records. */
+    /** How long the platform's log retains records. */
     Duration retention = std::chrono::minutes(10);
-    /** How long bills wait for company before they are appended; 0: the longer, the more routers there are. */
+    /** How long bills are collected into one record before it is appended; 0: grows with the number of routers. */
     Duration batchPeriod {};
 };
 
-/** What all routers together may send to a service beyond each request's first time. */
+/** Limit on the retries that all routers together send to a service within a time window. */
 struct RetrySettings {
-    /** Of the requests for the service within the window. */
+    /** Maximum number of retries per request for the service within the window. */
     double ratio = 0.1;
-    /** Beyond that, by the whole fleet. */
+    /** Number of retries that the whole fleet may send within the window in addition to `ratio`. */
     double extra = 20;
+    /** Length of the sliding window. */
     Duration window = std::chrono::seconds(10);
 };
 
+/** Settings of the router's log. */
 struct LoggingSettings {
-    /** `-`: standard output. */
+    /** Path of the log file; `-` stands for standard output. */
     std::string file = "-";
+    /** Lowest severity that is written. */
     LogLevel level = LogLevel::Info;
 };
 
@@ -84,45 +96,57 @@
 struct RouterSettings {
     SpokenDialect dialect = SpokenDialect::Native;
     VmSettings vm;
+    /** Listener for callers. */
     Endpoint callersListen;
-    /** Where the platform asks whether this VM may be sent callers; of dialect `platform`. */
+    /**
+     * Listener for the platform's readiness checks, which decide whether callers are sent to this VM; only for dialect
+     * `platform`.
+     */
     Endpoint readinessListen;
+    /** Listener for operators. */
     Endpoint operatorsListen;
+    /** Listener that serves the metrics. */
     Endpoint metricsListen;
-    /** The platform's log, in the order in which they are tried. */
+    /** Endpoints of the platform's log, in the order in which they are tried. */
     std::vector<Endpoint> logEndpoints;
-    /** The platform's VM list. */
+    /** Endpoint of the platform's VM list. */
     Endpoint vmListEndpoint;
     PeerSettings peers;
     LedgerSettings ledger;
     RoutingPolicy routing = RoutingPolicy::Affinity;
     RetrySettings retries;
-    /** How long a planned stop waits for requests in progress. */
+    /** Longest time that a planned stop waits for requests in progress. */
     Duration stopLimit = std::chrono::seconds(60);
     LoggingSettings logging;
-    /** Nothing: the process draws one at random and logs it. */
+    /** Seed of the router's random choices; empty: the process chooses a random seed and logs it. */
     std::optional<std::uint64_t> seed;
 };
 
 /**
- * @brief Reads and checks a router's settings. Never throws, whatever the file holds.
+ * @brief Reads and checks a router's settings. Never throws, whatever the content of the file.
  * @param file Path of the YAML file.
- * @param findings Takes all that is wrong, each with line and column.
- * @return The settings; nothing when anything was found.
+ * @param findings Receives a finding with line and column for each error.
+ * @return The settings; empty if the file has errors.
  */
 [[nodiscard]] std::optional<RouterSettings> readRouterSettings(const std::string& file, Findings& findings);
 
-/** @brief As readRouterSettings(), of a text in memory. */
+/**
+ * @brief Parses and checks a router's settings. Never throws, whatever the text.
+ * @param text The whole YAML document.
+ * @param source Name of the document, for the findings.
+ * @param findings Receives a finding with line and column for each error.
+ * @return The settings; empty if the text has errors.
+ */
 [[nodiscard]] std::optional<RouterSettings> parseRouterSettings(
     std::string_view text, const std::string& source, Findings& findings);
 
-/** @return `grants`, `static_split` or `append_per_request`. */
+/** @return Name of the policy in the settings: `grants`, `static_split` or `append_per_request`. */
 [[nodiscard]] std::string_view toText(LedgerPolicy policy) noexcept;
 
-/** @return `affinity`, `rendezvous`, `random`, `round_robin` or `least_load`. */
+/** @return Name of the policy in the settings: `affinity`, `rendezvous`, `random`, `round_robin` or `least_load`. */
 [[nodiscard]] std::string_view toText(RoutingPolicy policy) noexcept;
 
-/** @return `debug`, `info`, `warning` or `error`. */
+/** @return Name of the level in the settings: `debug`, `info`, `warning` or `error`. */
 [[nodiscard]] std::string_view toText(LogLevel level) noexcept;
 
 } // namespace swiftlift::settings
--- a/include/swiftlift/settings/ServiceDocument.h
+++ b/include/swiftlift/settings/ServiceDocument.h
@@ -13,46 +13,50 @@
 
 namespace swiftlift::settings {
 
-/** What kind of backend server runs a service's requests. */
+/** Kind of the backend servers that run a service's requests. */
 enum class BackendKind : std::uint8_t { Model, Plain };
 
-/** What the owner of a service minds more, where a policy has to choose. Budgets are never exceeded either way. */
+/**
+ * What the owner of a service prefers to avoid where a policy has to choose: refused requests or overspending. Budgets
+ * are never exceeded with either weighting.
+ */
 enum class Weighting : std::uint8_t { Refusals, Overspend };
 
-/** A client account that may call a service, and the budget its calls are billed to. */
+/** A client account that may call a service, and the budget to which its calls are billed. */
 struct AccountUse {
     AccountId account;
     BudgetId budget;
-    /** Share of the service when it is short, relative to the other accounts. */
+    /** Relative share of the service's capacity that the account gets when the capacity is insufficient. */
     std::uint32_t weight = 1;
 
     [[nodiscard]] bool operator==(const AccountUse&) const = default;
 };
 
-/** Bounds of one request of a service. */
+/** Limits and costs of the requests for a service. */
 struct Limits {
+    /** Maximum size of a request body. */
     std::size_t maxBodyBytes = 64UL * 1024;
-    /** Of a model service. */
+    /** Only for model services: maximum number of prompt tokens of a request. */
     Tokens maxPromptTokens { 8192 };
-    /** Of a model service. */
+    /** Only for model services: maximum number of answer tokens of a request. */
     Tokens maxAnswerTokens { 1024 };
-    /** What one call of a plain service costs. */
+    /** Only for plain services: cost of one call. */
     Tokens callCost;
-    /** Of a request that names none. */
+    /** Deadline of requests that state none. */
     Duration deadline = std::chrono::seconds(30);
-    /** How long a backend server may take to answer at all, and between two tokens. */
+    /** Longest time that a backend server may take until its answer starts, and between two tokens. */
     Duration silence = std::chrono::seconds(5);
-    /** Requests that one router lets wait for a backend server. */
+    /** Maximum number of requests that wait for a backend server at one router. */
     std::uint32_t maxWaiting = 256;
 
     [[nodiscard]] bool operator==(const Limits&) const = default;
 };
 
-/** How a router tries a request again at another backend server. */
+/** Limits on retries of a request at other backend servers. */
 struct Retry {
-    /** Attempts of one request, the first one included. */
+    /** Maximum number of attempts per request, including the first attempt. */
     std::uint32_t attempts = 3;
-    /** Most retries, in percent of the first attempts. */
+    /** Maximum number of retries, in percent of the number of first attempts. */
     std::uint32_t budgetPercent = 10;
 
     [[nodiscard]] bool operator==(const Retry&) const = default;
@@ -60,18 +64,20 @@
 
 /** A backend server of a service. */
 struct Backend {
+    /** Address as `ip:port`. */
     BackendId address;
     FailureDomain domain;
 
     [[nodiscard]] bool operator==(const Backend&) const = default;
 };
 
-/** Everything that the owner of a service decides; see docs/SERVICE_DOCUMENT.md. */
+/** Configuration of a service, written by its owner; see docs/SERVICE_DOCUMENT.md. */
 struct ServiceDocument {
     ServiceName service;
     BackendKind kind = BackendKind::Model;
-    /** Name of the model that the engines have to have loaded; empty for a plain service. */
+    /** Name of the model that the backend servers have to serve; empty for a plain service. */
     std::string model;
+    /** Client accounts that may call the service. */
     std::vector<AccountUse> accounts;
     Weighting weighting = Weighting::Refusals;
     Limits limits;
@@ -81,23 +87,23 @@
     [[nodiscard]] bool operator==(const ServiceDocument&) const = default;
 };
 
-/** Longer documents are refused unread. */
+/** Maximum size of a service document; longer documents are rejected without parsing. */
 inline constexpr std::size_t maxDocumentBytes = 256UL * 1024;
 
 /**
- * @brief Reads and checks a service's YAML document. Never throws, whatever the text.
+ * @brief Parses and checks a service's YAML document. Never throws, whatever the text.
  * @param text The whole document.
  * @param source Name of the document, for the findings.
- * @param findings Takes all that is wrong, each with line and column.
- * @return The document; nothing when anything was found.
+ * @param findings Receives a finding with line and column for each error.
+ * @return The document; empty if the text has errors.
  */
 [[nodiscard]] std::optional<ServiceDocument> parseServiceDocument(
     std::string_view text, const std::string& source, Findings& findings);
 
-/** @return `model` or `plain`, as the document says it. */
+/** @return Name of the kind in a service document: `model` or `plain`. */
 [[nodiscard]] std::string_view toText(BackendKind kind) noexcept;
 
-/** @return `refusals` or `overspend`, as the document says it. */
+/** @return Name of the weighting in a service document: `refusals` or `overspend`. */
 [[nodiscard]] std::string_view toText(Weighting weighting) noexcept;
 
 } // namespace swiftlift::settings
--- a/src/settings/Checker.h
+++ b/src/settings/Checker.h
@@ -16,80 +16,95 @@
 
 namespace swiftlift::settings::internal {
 
-enum class Need : std::uint8_t { Optional, Required };
+/** Whether a key has to be present. */
+enum class Presence : std::uint8_t { Optional, Required };
 
-/** Least and greatest value allowed. */
+/** Smallest and largest allowed value. */
 template <typename Value> struct Range {
-    Value least;
-    Value most;
+    Value minimum;
+    Value maximum;
 };
 
-/** A word of a choice and its meaning. */
+/** One of the words that a key accepts, with the value that the word stands for. */
 template <typename Value> struct Choice {
     std::string_view word;
     Value value;
 };
 
 /**
- * @brief Walks one map of a YAML tree: converts its values and reports what is wrong, each with its place.
+ * @brief Converts the values of one YAML map and reports each error with its position.
  *
- * Readers leave their target as it is, and so at its default, when the key is absent or its value no good. Every key
- * that no reader has asked for is reported by finish().
+ * A function that reads a key leaves its target unchanged, and so at its default, if the key is absent or the value is
+ * invalid. reportUnknownKeys() reports each key of the map that no function has read.
  */
 class Checker {
 public:
     /**
-     * @param node The map; anything else is reported.
-     * @param source Name of the document.
-     * @param findings Takes what is wrong.
+     * @param node The map; a node of another kind is reported as an error.
+     * @param source Name of the document, for the findings.
+     * @param findings Receives the errors.
      */
     Checker(const YamlNode& node, const std::string& source, Findings& findings);
 
-    /** @return The map under the key; when it is absent, one without keys whose readers report nothing. */
-    [[nodiscard]] Checker section(std::string_view key, Need need);
-
-    /** @return The maps in the list under the key. */
-    [[nodiscard]] std::vector<Checker> sections(std::string_view key, Need need);
-
-    void text(std::string_view key, Need need, std::string& target);
-    void unsignedNumber(std::string_view key, Need need, Range<std::uint64_t> range, std::uint64_t& target);
-    void unsignedNumber(std::string_view key, Need need, Range<std::uint64_t> range, std::uint32_t& target);
-    void tokens(std::string_view key, Need need, Range<std::uint64_t> range, Tokens& target);
-    void duration(std::string_view key, Need need, Range<Duration> range, Duration& target);
-    void size(std::string_view key, Need need, Range<std::uint64_t> range, std::size_t& target);
-    /** A number with or without a fraction, such as 0.2. */
-    void fraction(std::string_view key, Need need, Range<double> range, double& target);
-    void percent(std::string_view key, Need need, Range<std::uint64_t> range, std::uint32_t& target);
+    /**
+     * @param key Key of the section.
+     * @param presence Whether the section has to be present.
+     * @return Checker of the map under the key. If the map is absent, the checker has no keys and reports nothing.
+     */
+    [[nodiscard]] Checker section(std::string_view key, Presence presence);
 
-    /** A word that can name something; see isName(). */
-    template <typename Name> void name(std::string_view key, Need need, Name& target)
+    /**
+     * @param key Key of the list.
+     * @param presence Whether the list has to be present and not empty.
+     * @return Checkers of the maps in the list under the key.
+     */
+    [[nodiscard]] std::vector<Checker> sectionList(std::string_view key, Presence presence);
+
+    /** @brief Reads a text. */
+    void text(std::string_view key, Presence presence, std::string& target);
+    /** @brief Reads a whole number within a range. */
+    void unsignedNumber(std::string_view key, Presence presence, Range<std::uint64_t> range, std::uint64_t& target);
+    void unsignedNumber(std::string_view key, Presence presence, Range<std::uint64_t> range, std::uint32_t& target);
+    /** @brief Reads a number of tokens. */
+    void tokens(std::string_view key, Presence presence, Range<std::uint64_t> range, Tokens& target);
+    /** @brief Reads a duration with a unit, such as 30s. */
+    void duration(std::string_view key, Presence presence, Range<Duration> range, Duration& target);
+    /** @brief Reads a size in bytes with a unit, such as 64KiB. */
+    void size(std::string_view key, Presence presence, Range<std::uint64_t> range, std::size_t& target);
+    /** @brief Reads a decimal number, such as 0.2. */
+    void fraction(std::string_view key, Presence presence, Range<double> range, double& target);
+    /** @brief Reads a percentage, such as 10%. */
+    void percent(std::string_view key, Presence presence, Range<std::uint64_t> range, std::uint32_t& target);
+
+    /** @brief Reads a name; see isName(). */
+    template <typename Name> void name(std::string_view key, Presence presence, Name& target)
     {
-        if (const auto* const word = nameNode(key, need)) {
+        if (const auto* const word = nameNode(key, presence)) {
             target = Name(word->scalar);
         }
     }
 
-    /** An `ip:port`; see isAddress(). */
-    template <typename Address> void address(std::string_view key, Need need, Address& target)
+    /** @brief Reads an address `ip:port`; see isAddress(). */
+    template <typename Address> void address(std::string_view key, Presence presence, Address& target)
     {
-        if (const auto* const node = addressNode(key, need)) {
+        if (const auto* const node = addressNode(key, presence)) {
             target = Address(node->scalar);
         }
     }
 
-    /** A list of `ip:port` without repeats. */
-    template <typename Address> void addresses(std::string_view key, Need need, std::vector<Address>& target)
+    /** @brief Reads a list of different addresses `ip:port`. */
+    template <typename Address> void addresses(std::string_view key, Presence presence, std::vector<Address>& target)
     {
-        for (const auto* const node : addressNodes(key, need)) {
+        for (const auto* const node : addressNodes(key, presence)) {
             target.push_back(Address(node->scalar));
         }
     }
 
-    /** One of a few words. */
+    /** @brief Reads one of several words and stores the value that the word stands for. */
     template <typename Value>
-    void choice(std::string_view key, Need need, std::initializer_list<Choice<Value>> choices, Value& target)
+    void choice(std::string_view key, Presence presence, std::initializer_list<Choice<Value>> choices, Value& target)
     {
-        const auto* const node = scalarNode(key, need);
+        const auto* const node = scalarNode(key, presence);
         if (node == nullptr) {
             return;
         }
@@ -106,67 +121,74 @@
         reportChoice(key, *node, words);
     }
 
-    /** @return The entries of a map whose keys and values are all `ip:port`. */
+    /** @return The valid entries of the map under the key; its keys and values have to be addresses `ip:port`. */
     [[nodiscard]] std::vector<std::pair<std::string, std::string>> addressMap(std::string_view key);
 
-    /** @return Whether the key is there, with whatever value. */
-    [[nodiscard]] bool has(std::string_view key) const noexcept;
+    /** @return Whether the map has the key, with any value. */
+    [[nodiscard]] bool hasKey(std::string_view key) const noexcept;
 
-    /** @brief Reports something about the key's value; about the map itself when the key is absent. */
+    /** @brief Reports an error at the position of the key's value, or at the map's position if the key is absent. */
     void report(std::string_view key, const std::string& message);
 
-    /** @brief Reports every key that no reader has asked for. */
-    void finish();
+    /** @brief Reports each key of the map that no function of this checker has read. */
+    void reportUnknownKeys();
 
 private:
-    Checker(const YamlNode* map, Place place, std::string path, const std::string& source, Findings& findings);
+    Checker(const YamlNode* map, Position position, std::string path, const std::string& source, Findings& findings);
 
     [[nodiscard]] const YamlEntry* find(std::string_view key) const noexcept;
-    [[nodiscard]] const YamlNode* value(std::string_view key, Need need);
-    [[nodiscard]] const YamlNode* scalarNode(std::string_view key, Need need);
-    [[nodiscard]] const YamlNode* plainNode(std::string_view key, Need need);
-    [[nodiscard]] const YamlNode* nameNode(std::string_view key, Need need);
-    [[nodiscard]] const YamlNode* addressNode(std::string_view key, Need need);
-    [[nodiscard]] std::vector<const YamlNode*> addressNodes(std::string_view key, Need need);
+    [[nodiscard]] const YamlNode* value(std::string_view key, Presence presence);
+    [[nodiscard]] const YamlNode* scalarNode(std::string_view key, Presence presence);
+    [[nodiscard]] const YamlNode* plainNode(std::string_view key, Presence presence);
+    [[nodiscard]] const YamlNode* nameNode(std::string_view key, Presence presence);
+    [[nodiscard]] const YamlNode* addressNode(std::string_view key, Presence presence);
+    [[nodiscard]] std::vector<const YamlNode*> addressNodes(std::string_view key, Presence presence);
     [[nodiscard]] std::optional<std::uint64_t> boundedNumber(
-        std::string_view key, Need need, Range<std::uint64_t> range);
+        std::string_view key, Presence presence, Range<std::uint64_t> range);
     [[nodiscard]] bool isMap(std::string_view key, const YamlNode& node);
-    [[nodiscard]] bool checkAddress(const std::string& path, const std::string& text, Place place);
+    [[nodiscard]] bool checkAddress(const std::string& path, const std::string& text, Position position);
     [[nodiscard]] std::string pathOf(std::string_view key) const;
     void reportChoice(std::string_view key, const YamlNode& node, const std::vector<std::string_view>& words);
-    void reportRange(std::string_view key, const YamlNode& node, const std::string& least, const std::string& most);
-    void reportAt(Place place, const std::string& path, const std::string& message);
+    void reportRange(
+        std::string_view key, const YamlNode& node, const std::string& minimum, const std::string& maximum);
+    void reportAt(Position position, const std::string& path, const std::string& message);
     void reportRepeatedKeys();
 
-    /** Null: the section is absent or no map; there is nothing to read and nothing more to report. */
+    /** The map; null if the section is absent or is no map, so that there is nothing to read or to report. */
     const YamlNode* map_;
-    Place place_;
+    Position position_;
     std::string path_;
     const std::string& source_;
     Findings& findings_;
-    std::vector<std::string> known_;
+    /** Keys that were read so far, whether present or not. */
+    std::vector<std::string> acceptedKeys_;
 };
 
-/** @brief Puts the findings from `first` on in the order of their places. */
+/** @brief Sorts the findings from index `first` on by line and column. */
 void sortFindings(Findings& findings, std::size_t first);
 
 /**
- * @param read Turns the checker of the whole document into a value.
- * @return The value; nothing when anything was found.
+ * @brief Parses a YAML document and converts it to a value.
+ * @param text The whole document.
+ * @param source Name of the document, for the findings.
+ * @param maxBytes Maximum size of the document; longer documents are rejected without parsing.
+ * @param findings Receives the errors, sorted by position.
+ * @param read Function that converts the checker of the whole document to the value.
+ * @return The value; empty if the document has errors.
  */
 template <typename Read>
 [[nodiscard]] auto parseChecked(std::string_view text, const std::string& source, std::size_t maxBytes,
     Findings& findings, const Read& read) -> std::optional<decltype(read(std::declval<Checker&>()))>
 {
-    const auto before = findings.size();
+    const auto findingsBefore = findings.size();
     const auto tree = loadYaml(text, source, maxBytes, findings);
     if (!tree) {
         return std::nullopt;
     }
     Checker root(*tree, source, findings);
     auto value = read(root);
-    sortFindings(findings, before);
-    if (findings.size() > before) {
+    sortFindings(findings, findingsBefore);
+    if (findings.size() > findingsBefore) {
         return std::nullopt;
     }
     return value;
--- a/src/settings/CtlSettings.cpp
+++ b/src/settings/CtlSettings.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     using internal::Checker;
-    using internal::Need;
+    using internal::Presence;
     using internal::Range;
     using std::chrono::hours;
     using std::chrono::milliseconds;
@@ -20,13 +20,13 @@
 
     void readLog(Checker& root, CtlSettings& settings)
     {
-        auto checker = root.section("log", Need::Required);
-        checker.addresses("endpoints", Need::Required, settings.logEndpoints);
-        checker.duration("timeout", Need::Optional, timeoutRange, settings.logTimeout);
-        checker.duration("patience", Need::Optional, timeoutRange, settings.logPatience);
-        checker.finish();
+        auto checker = root.section("log", Presence::Required);
+        checker.addresses("endpoints", Presence::Required, settings.logEndpoints);
+        checker.duration("timeout", Presence::Optional, timeoutRange, settings.logTimeout);
+        checker.duration("patience", Presence::Optional, timeoutRange, settings.logPatience);
+        checker.reportUnknownKeys();
         if (settings.logTimeout > settings.logPatience) {
-            checker.report(checker.has("timeout") ? "timeout" : "patience",
+            checker.report(checker.hasKey("timeout") ? "timeout" : "patience",
                 "timeout has to be no longer than patience (defaults: timeout 2s, patience 10s)");
         }
     }
@@ -34,16 +34,16 @@
     [[nodiscard]] CtlSettings readSettings(Checker& root)
     {
         CtlSettings settings;
-        root.name("author", Need::Optional, settings.author);
+        root.name("author", Presence::Optional, settings.author);
         readLog(root, settings);
-        auto ledger = root.section("ledger", Need::Optional);
-        ledger.unsignedNumber("shards", Need::Optional, shardRange, settings.ledgerShards);
-        ledger.finish();
-        auto routers = root.section("routers", Need::Optional);
-        routers.addresses("operators", Need::Optional, settings.routers);
-        routers.duration("timeout", Need::Optional, timeoutRange, settings.routerTimeout);
-        routers.finish();
-        root.finish();
+        auto ledger = root.section("ledger", Presence::Optional);
+        ledger.unsignedNumber("shards", Presence::Optional, shardRange, settings.ledgerShards);
+        ledger.reportUnknownKeys();
+        auto routers = root.section("routers", Presence::Optional);
+        routers.addresses("operators", Presence::Optional, settings.routers);
+        routers.duration("timeout", Presence::Optional, timeoutRange, settings.routerTimeout);
+        routers.reportUnknownKeys();
+        root.reportUnknownKeys();
         return settings;
     }
 
--- a/src/settings/RouterSettings.cpp
+++ b/src/settings/RouterSettings.cpp
@@ -12,7 +12,7 @@
 namespace {
 
     using internal::Checker;
-    using internal::Need;
+    using internal::Presence;
     using internal::Range;
     using std::chrono::hours;
     using std::chrono::seconds;
@@ -33,33 +33,35 @@
 
     void readVm(Checker& root, VmSettings& vm)
     {
-        auto checker = root.section("vm", Need::Required);
-        checker.address("peer", Need::Required, vm.peer);
-        checker.name("domain", Need::Required, vm.domain);
-        checker.name("region", Need::Required, vm.region);
-        checker.fraction("bandwidth", Need::Optional, bandwidthRange, vm.bandwidth);
-        checker.finish();
+        auto checker = root.section("vm", Presence::Required);
+        checker.address("peer", Presence::Required, vm.peer);
+        checker.name("domain", Presence::Required, vm.domain);
+        checker.name("region", Presence::Required, vm.region);
+        checker.fraction("bandwidth", Presence::Optional, bandwidthRange, vm.bandwidth);
+        checker.reportUnknownKeys();
     }
 
     [[nodiscard]] Endpoint readListener(Checker& root, std::string_view key)
     {
         Endpoint listen;
-        auto checker = root.section(key, Need::Required);
-        checker.address("listen", Need::Required, listen);
-        checker.finish();
+        auto checker = root.section(key, Presence::Required);
+        checker.address("listen", Presence::Required, listen);
+        checker.reportUnknownKeys();
         return listen;
     }
 
     void readListeners(Checker& root, RouterSettings& settings)
     {
-        auto callers = root.section("callers", Need::Required);
-        callers.address("listen", Need::Required, settings.callersListen);
-        const Need readiness = settings.dialect == SpokenDialect::Platform ? Need::Required : Need::Optional;
-        callers.address("readiness", readiness, settings.readinessListen);
-        callers.finish();
+        auto callers = root.section("callers", Presence::Required);
+        callers.address("listen", Presence::Required, settings.callersListen);
+        const Presence readinessPresence
+            = settings.dialect == SpokenDialect::Platform ? Presence::Required : Presence::Optional;
+        callers.address("readiness", readinessPresence, settings.readinessListen);
+        callers.reportUnknownKeys();
         settings.operatorsListen = readListener(root, "operators");
         settings.metricsListen = readListener(root, "metrics");
-        // Two listeners on one address: the second one would fail to bind, and only after the first had callers.
+        // If two listeners had the same address, the second listener would fail to bind after the first already had
+        // callers.
         std::set<std::string> seen { settings.vm.peer.value() };
         const std::pair<std::string_view, const Endpoint&> listeners[] { { "callers", settings.callersListen },
             { "operators", settings.operatorsListen }, { "metrics", settings.metricsListen } };
@@ -72,88 +74,89 @@
 
     void readPlatform(Checker& root, RouterSettings& settings)
     {
-        auto log = root.section("log", Need::Required);
-        log.addresses("endpoints", Need::Required, settings.logEndpoints);
-        log.finish();
-        // Routers that speak the platform's dialect find each other through the log.
-        const Need listNeeded = settings.dialect == SpokenDialect::Native ? Need::Required : Need::Optional;
-        auto vmList = root.section("vm_list", listNeeded);
-        vmList.address("endpoint", listNeeded, settings.vmListEndpoint);
-        vmList.finish();
+        auto log = root.section("log", Presence::Required);
+        log.addresses("endpoints", Presence::Required, settings.logEndpoints);
+        log.reportUnknownKeys();
+        // With dialect `platform`, routers discover each other through the log and need no VM list.
+        const Presence vmListPresence
+            = settings.dialect == SpokenDialect::Native ? Presence::Required : Presence::Optional;
+        auto vmList = root.section("vm_list", vmListPresence);
+        vmList.address("endpoint", vmListPresence, settings.vmListEndpoint);
+        vmList.reportUnknownKeys();
     }
 
     void readPeers(Checker& root, PeerSettings& peers)
     {
-        auto checker = root.section("peers", Need::Optional);
-        checker.addresses("seeds", Need::Optional, peers.seeds);
+        auto checker = root.section("peers", Presence::Optional);
+        checker.addresses("seeds", Presence::Optional, peers.seeds);
         for (const auto& [peer, endpoint] : checker.addressMap("via")) {
             peers.via.emplace(PeerAddress(peer), Endpoint(endpoint));
         }
-        checker.finish();
+        checker.reportUnknownKeys();
     }
 
     void readLedger(Checker& root, LedgerSettings& ledger)
     {
-        auto checker = root.section("ledger", Need::Optional);
-        checker.unsignedNumber("shards", Need::Optional, shardRange, ledger.shards);
-        checker.choice<LedgerPolicy>("policy", Need::Optional,
+        auto checker = root.section("ledger", Presence::Optional);
+        checker.unsignedNumber("shards", Presence::Optional, shardRange, ledger.shards);
+        checker.choice<LedgerPolicy>("policy", Presence::Optional,
             { { "grants", LedgerPolicy::Grants }, { "static_split", LedgerPolicy::StaticSplit },
                 { "append_per_request", LedgerPolicy::AppendPerRequest } },
             ledger.policy);
-        checker.unsignedNumber("split_ways", Need::Optional, splitRange, ledger.splitWays);
-        checker.duration("low_watermark", Need::Optional, watermarkRange, ledger.lowWatermark);
-        checker.duration("high_watermark", Need::Optional, watermarkRange, ledger.highWatermark);
-        checker.percent("stock", Need::Optional, wholePercent, ledger.preallocationPercent);
-        checker.duration("retention", Need::Optional, retentionRange, ledger.retention);
-        checker.duration("batch_period", Need::Optional, batchRange, ledger.batchPeriod);
-        checker.finish();
-        if (checker.has("split_ways") && ledger.policy != LedgerPolicy::StaticSplit) {
+        checker.unsignedNumber("split_ways", Presence::Optional, splitRange, ledger.splitWays);
+        checker.duration("low_watermark", Presence::Optional, watermarkRange, ledger.lowWatermark);
+        checker.duration("high_watermark", Presence::Optional, watermarkRange, ledger.highWatermark);
+        checker.percent("stock", Presence::Optional, wholePercent, ledger.preallocationPercent);
+        checker.duration("retention", Presence::Optional, retentionRange, ledger.retention);
+        checker.duration("batch_period", Presence::Optional, batchRange, ledger.batchPeriod);
+        checker.reportUnknownKeys();
+        if (checker.hasKey("split_ways") && ledger.policy != LedgerPolicy::StaticSplit) {
             checker.report("split_ways", "has a meaning only with policy static_split");
         }
     }
 
     void readRouting(Checker& root, RoutingPolicy& routing)
     {
-        auto checker = root.section("routing", Need::Optional);
-        checker.choice<RoutingPolicy>("policy", Need::Optional,
+        auto checker = root.section("routing", Presence::Optional);
+        checker.choice<RoutingPolicy>("policy", Presence::Optional,
             { { "affinity", RoutingPolicy::Affinity }, { "rendezvous", RoutingPolicy::Rendezvous },
                 { "random", RoutingPolicy::Random }, { "round_robin", RoutingPolicy::RoundRobin },
                 { "least_load", RoutingPolicy::LeastLoad } },
             routing);
-        checker.finish();
+        checker.reportUnknownKeys();
     }
 
     void readRetries(Checker& root, RetrySettings& retries)
     {
-        auto checker = root.section("retries", Need::Optional);
-        checker.fraction("ratio", Need::Optional, ratioRange, retries.ratio);
-        checker.fraction("extra", Need::Optional, extraRange, retries.extra);
-        checker.duration("window", Need::Optional, windowRange, retries.window);
-        checker.finish();
+        auto checker = root.section("retries", Presence::Optional);
+        checker.fraction("ratio", Presence::Optional, ratioRange, retries.ratio);
+        checker.fraction("extra", Presence::Optional, extraRange, retries.extra);
+        checker.duration("window", Presence::Optional, windowRange, retries.window);
+        checker.reportUnknownKeys();
     }
 
     void readDialect(Checker& root, SpokenDialect& dialect)
     {
-        root.choice<SpokenDialect>("dialect", Need::Optional,
+        root.choice<SpokenDialect>("dialect", Presence::Optional,
             { { "native", SpokenDialect::Native }, { "platform", SpokenDialect::Platform } }, dialect);
     }
 
     void readStop(Checker& root, Duration& limit)
     {
-        auto checker = root.section("stop", Need::Optional);
-        checker.duration("limit", Need::Optional, stopRange, limit);
-        checker.finish();
+        auto checker = root.section("stop", Presence::Optional);
+        checker.duration("limit", Presence::Optional, stopRange, limit);
+        checker.reportUnknownKeys();
     }
 
     void readLogging(Checker& root, LoggingSettings& logging)
     {
-        auto checker = root.section("logging", Need::Optional);
-        checker.text("file", Need::Optional, logging.file);
-        checker.choice<LogLevel>("level", Need::Optional,
+        auto checker = root.section("logging", Presence::Optional);
+        checker.text("file", Presence::Optional, logging.file);
+        checker.choice<LogLevel>("level", Presence::Optional,
             { { "debug", LogLevel::Debug }, { "info", LogLevel::Info }, { "warning", LogLevel::Warning },
                 { "error", LogLevel::Error } },
             logging.level);
-        checker.finish();
+        checker.reportUnknownKeys();
         if (logging.file.empty()) {
             checker.report("file", "expected a path, or - for standard output");
         }
@@ -162,8 +165,8 @@
     void readSeed(Checker& root, std::optional<std::uint64_t>& seed)
     {
         std::uint64_t number = 0;
-        root.unsignedNumber("seed", Need::Optional, seedRange, number);
-        if (root.has("seed")) {
+        root.unsignedNumber("seed", Presence::Optional, seedRange, number);
+        if (root.hasKey("seed")) {
             seed = number;
         }
     }
@@ -182,7 +185,7 @@
         readStop(root, settings.stopLimit);
         readLogging(root, settings.logging);
         readSeed(root, settings.seed);
-        root.finish();
+        root.reportUnknownKeys();
         return settings;
     }
 
--- a/src/settings/ServiceDocument.cpp
+++ b/src/settings/ServiceDocument.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     using internal::Checker;
-    using internal::Need;
+    using internal::Presence;
     using internal::Range;
     using std::chrono::hours;
     using std::chrono::milliseconds;
@@ -25,10 +25,10 @@
     constexpr Range<std::uint64_t> attemptsRange { 1, 10 };
     constexpr Range<std::uint64_t> retryBudgetRange { 0, 100 };
 
-    /** @brief Reports a key that only the other kind of service has. */
-    void refuseKey(Checker& checker, std::string_view key, const std::string& message)
+    /** @brief Reports the key as an error if it is present; for keys that only the other kind of service has. */
+    void rejectKey(Checker& checker, std::string_view key, const std::string& message)
     {
-        if (checker.has(key)) {
+        if (checker.hasKey(key)) {
             checker.report(key, message);
         }
     }
@@ -36,22 +36,22 @@
     void readModel(Checker& root, ServiceDocument& document)
     {
         if (document.kind == BackendKind::Model) {
-            root.name("model", Need::Required, document.model);
+            root.name("model", Presence::Required, document.model);
             return;
         }
-        root.text("model", Need::Optional, document.model);
-        refuseKey(root, "model", "a plain service has no model");
+        root.text("model", Presence::Optional, document.model);
+        rejectKey(root, "model", "a plain service has no model");
     }
 
     void readAccounts(Checker& root, ServiceDocument& document)
     {
         std::map<AccountId, std::size_t> seen;
-        for (auto& checker : root.sections("accounts", Need::Required)) {
+        for (auto& checker : root.sectionList("accounts", Presence::Required)) {
             AccountUse use;
-            checker.name("account", Need::Required, use.account);
-            checker.name("budget", Need::Required, use.budget);
-            checker.unsignedNumber("weight", Need::Optional, weightRange, use.weight);
-            checker.finish();
+            checker.name("account", Presence::Required, use.account);
+            checker.name("budget", Presence::Required, use.budget);
+            checker.unsignedNumber("weight", Presence::Optional, weightRange, use.weight);
+            checker.reportUnknownKeys();
             const auto [first, isNew] = seen.emplace(use.account, document.accounts.size());
             if (!isNew && !use.account.value().empty()) {
                 checker.report("account",
@@ -65,55 +65,56 @@
     {
         auto& limits = document.limits;
         if (document.kind == BackendKind::Model) {
-            checker.tokens("max_prompt_tokens", Need::Optional, tokenRange, limits.maxPromptTokens);
-            checker.tokens("max_answer_tokens", Need::Optional, tokenRange, limits.maxAnswerTokens);
+            checker.tokens("max_prompt_tokens", Presence::Optional, tokenRange, limits.maxPromptTokens);
+            checker.tokens("max_answer_tokens", Presence::Optional, tokenRange, limits.maxAnswerTokens);
             Tokens ignored;
-            checker.tokens("call_cost", Need::Optional, tokenRange, ignored);
-            refuseKey(checker, "call_cost", "a model service is billed by its tokens; it has no call_cost");
+            checker.tokens("call_cost", Presence::Optional, tokenRange, ignored);
+            rejectKey(checker, "call_cost", "a model service is billed by its tokens; it has no call_cost");
             return;
         }
         Tokens ignored;
-        checker.tokens("call_cost", Need::Required, tokenRange, limits.callCost);
-        checker.tokens("max_prompt_tokens", Need::Optional, tokenRange, ignored);
-        refuseKey(checker, "max_prompt_tokens", "a plain service has no tokens; it is billed by call_cost");
-        checker.tokens("max_answer_tokens", Need::Optional, tokenRange, ignored);
-        refuseKey(checker, "max_answer_tokens", "a plain service has no tokens; it is billed by call_cost");
+        checker.tokens("call_cost", Presence::Required, tokenRange, limits.callCost);
+        checker.tokens("max_prompt_tokens", Presence::Optional, tokenRange, ignored);
+        rejectKey(checker, "max_prompt_tokens", "a plain service has no tokens; it is billed by call_cost");
+        checker.tokens("max_answer_tokens", Presence::Optional, tokenRange, ignored);
+        rejectKey(checker, "max_answer_tokens", "a plain service has no tokens; it is billed by call_cost");
     }
 
     void readLimits(Checker& root, ServiceDocument& document)
     {
-        // Without call_cost the calls of a plain service would be free, so that section has to be there.
-        const auto need = document.kind == BackendKind::Plain ? Need::Required : Need::Optional;
-        auto checker = root.section("limits", need);
+        // A plain service must have a call_cost, otherwise its calls would be free; so its `limits` section is
+        // required.
+        const auto presence = document.kind == BackendKind::Plain ? Presence::Required : Presence::Optional;
+        auto checker = root.section("limits", presence);
         auto& limits = document.limits;
-        checker.size("max_body", Need::Optional, bodyRange, limits.maxBodyBytes);
+        checker.size("max_body", Presence::Optional, bodyRange, limits.maxBodyBytes);
         readTokenLimits(checker, document);
-        checker.duration("deadline", Need::Optional, deadlineRange, limits.deadline);
-        checker.duration("silence", Need::Optional, silenceRange, limits.silence);
-        checker.unsignedNumber("max_waiting", Need::Optional, waitingRange, limits.maxWaiting);
-        checker.finish();
+        checker.duration("deadline", Presence::Optional, deadlineRange, limits.deadline);
+        checker.duration("silence", Presence::Optional, silenceRange, limits.silence);
+        checker.unsignedNumber("max_waiting", Presence::Optional, waitingRange, limits.maxWaiting);
+        checker.reportUnknownKeys();
         if (limits.silence > limits.deadline) {
-            checker.report(checker.has("silence") ? "silence" : "deadline",
+            checker.report(checker.hasKey("silence") ? "silence" : "deadline",
                 "silence has to be no longer than deadline (defaults: silence 5s, deadline 30s)");
         }
     }
 
     void readRetry(Checker& root, ServiceDocument& document)
     {
-        auto checker = root.section("retry", Need::Optional);
-        checker.unsignedNumber("attempts", Need::Optional, attemptsRange, document.retry.attempts);
-        checker.percent("budget", Need::Optional, retryBudgetRange, document.retry.budgetPercent);
-        checker.finish();
+        auto checker = root.section("retry", Presence::Optional);
+        checker.unsignedNumber("attempts", Presence::Optional, attemptsRange, document.retry.attempts);
+        checker.percent("budget", Presence::Optional, retryBudgetRange, document.retry.budgetPercent);
+        checker.reportUnknownKeys();
     }
 
     void readBackends(Checker& root, ServiceDocument& document)
     {
         std::map<BackendId, std::size_t> seen;
-        for (auto& checker : root.sections("backends", Need::Required)) {
+        for (auto& checker : root.sectionList("backends", Presence::Required)) {
             Backend backend;
-            checker.address("address", Need::Required, backend.address);
-            checker.name("domain", Need::Required, backend.domain);
-            checker.finish();
+            checker.address("address", Presence::Required, backend.address);
+            checker.name("domain", Presence::Required, backend.domain);
+            checker.reportUnknownKeys();
             const auto [first, isNew] = seen.emplace(backend.address, document.backends.size());
             if (!isNew && !backend.address.value().empty()) {
                 checker.report("address",
@@ -126,17 +127,17 @@
     [[nodiscard]] ServiceDocument readDocument(Checker& root)
     {
         ServiceDocument document;
-        root.name("service", Need::Required, document.service);
-        root.choice<BackendKind>("kind", Need::Required,
+        root.name("service", Presence::Required, document.service);
+        root.choice<BackendKind>("kind", Presence::Required,
             { { "model", BackendKind::Model }, { "plain", BackendKind::Plain } }, document.kind);
         readModel(root, document);
-        root.choice<Weighting>("weighting", Need::Optional,
+        root.choice<Weighting>("weighting", Presence::Optional,
             { { "refusals", Weighting::Refusals }, { "overspend", Weighting::Overspend } }, document.weighting);
         readAccounts(root, document);
         readLimits(root, document);
         readRetry(root, document);
         readBackends(root, document);
-        root.finish();
+        root.reportUnknownKeys();
         return document;
     }
 
--- a/src/settings/Text.cpp
+++ b/src/settings/Text.cpp
@@ -14,18 +14,23 @@
 
 namespace {
 
+    /** A unit of measurement. */
     struct Unit {
         std::string_view name;
+        /** Value of one unit in the smallest unit: microseconds, bytes or percent. */
         std::uint64_t factor;
     };
 
-    // Largest first.
+    // In descending order; textWithUnit() depends on that order.
     constexpr std::array<Unit, 5> durationUnits { { { "h", 3'600'000'000 }, { "m", 60'000'000 }, { "s", 1'000'000 },
         { "ms", 1'000 }, { "us", 1 } } };
     constexpr std::array<Unit, 3> sizeUnits { { { "MiB", 1024UL * 1024 }, { "KiB", 1024 }, { "B", 1 } } };
 
     [[nodiscard]] bool isDigit(char letter) noexcept { return letter >= '0' && letter <= '9'; }
 
+    /**
+     * @return Value of a whole number followed by a unit, in the smallest unit; empty if malformed or above 2^63 - 1.
+     */
     [[nodiscard]] std::optional<std::uint64_t> parseWithUnit(
         std::string_view text, std::span<const Unit> units) noexcept
     {
@@ -38,8 +43,8 @@
         if (!number || unit == units.end()) {
             return std::nullopt;
         }
-        constexpr auto most = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-        if (*number > most / unit->factor) {
+        constexpr auto maxValue = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
+        if (*number > maxValue / unit->factor) {
             return std::nullopt;
         }
         return *number * unit->factor;
@@ -52,13 +57,18 @@
         return std::to_string(value / unit->factor) + std::string(unit->name);
     }
 
+    /** Properties of a UTF-8 sequence that its lead byte determines. */
     struct Sequence {
+        /** Length in bytes. */
         std::size_t length;
-        std::uint32_t least;
+        /** Smallest code point that needs a sequence of this length; smaller code points are overlong encodings. */
+        std::uint32_t minCode;
     };
 
-    /** @return Length of the sequence that this byte leads, and the least code point that needs it. */
-    [[nodiscard]] std::optional<Sequence> leadOf(unsigned char byte) noexcept
+    /**
+     * @return Properties of the UTF-8 sequence that starts with this byte; empty if no sequence starts with this byte.
+     */
+    [[nodiscard]] std::optional<Sequence> parseLeadByte(unsigned char byte) noexcept
     {
         if (byte < 0x80) {
             return Sequence { 1, 0 };
@@ -75,17 +85,17 @@
         return std::nullopt;
     }
 
-    /** @return Bytes of the character that starts the text; 0 when it is no good. */
+    /** @return Length in bytes of the first character of the text; 0 if the character is invalid or not allowed. */
     [[nodiscard]] std::size_t characterLength(std::string_view text) noexcept
     {
         const auto lead = static_cast<unsigned char>(text.front());
-        const auto sequence = leadOf(lead);
+        const auto sequence = parseLeadByte(lead);
         if (!sequence || text.size() < sequence->length) {
             return 0;
         }
         if (sequence->length == 1) {
-            const bool control = lead < 0x20 || lead == 0x7F;
-            return control && lead != '\t' && lead != '\n' && lead != '\r' ? 0 : 1;
+            const bool isControl = lead < 0x20 || lead == 0x7F;
+            return isControl && lead != '\t' && lead != '\n' && lead != '\r' ? 0 : 1;
         }
         std::uint32_t code = lead & (0x7FU >> sequence->length);
         for (std::size_t index = 1; index < sequence->length; ++index) {
@@ -95,24 +105,24 @@
             }
             code = (code << 6U) | (byte & 0x3FU);
         }
-        const bool surrogate = code >= 0xD800 && code < 0xE000;
-        return code < sequence->least || code > 0x10FFFF || surrogate ? 0 : sequence->length;
+        const bool isSurrogate = code >= 0xD800 && code < 0xE000;
+        return code < sequence->minCode || code > 0x10FFFF || isSurrogate ? 0 : sequence->length;
     }
 
 } // namespace
 
-std::optional<Place> findBadCharacter(std::string_view text) noexcept
+std::optional<Position> findInvalidCharacter(std::string_view text) noexcept
 {
-    Place place { 1, 1 };
+    Position position { 1, 1 };
     while (!text.empty()) {
         const auto length = characterLength(text);
         if (length == 0) {
-            return place;
+            return position;
         }
         if (text.front() == '\n') {
-            place = { place.line + 1, 1 };
+            position = { position.line + 1, 1 };
         } else {
-            ++place.column;
+            ++position.column;
         }
         text.remove_prefix(length);
     }
--- a/src/settings/Text.h
+++ b/src/settings/Text.h
@@ -12,31 +12,42 @@
 
 namespace swiftlift::settings::internal {
 
-/** @return Place of the first byte that is not UTF-8, or of a control character other than tab and line end. */
-[[nodiscard]] std::optional<Place> findBadCharacter(std::string_view text) noexcept;
+/**
+ * @return Position of the first byte that is not UTF-8 or is a control character other than tab, LF and CR; empty if
+ * there is none.
+ */
+[[nodiscard]] std::optional<Position> findInvalidCharacter(std::string_view text) noexcept;
 
-/** @return The decimal number, digits only; nothing when it is none or does not fit. */
+/** @return The decimal number; empty if the text has other characters than digits or the number does not fit. */
 [[nodiscard]] std::optional<std::uint64_t> parseUnsigned(std::string_view text) noexcept;
 
-/** @return The duration of a whole number with one of the units us, ms, s, m, h. */
+/** @return Duration given as a whole number with unit us, ms, s, m or h; empty if the text is malformed. */
 [[nodiscard]] std::optional<Duration> parseDuration(std::string_view text) noexcept;
 
-/** @return The bytes of a whole number with one of the units B, KiB, MiB. */
+/** @return Number of bytes given as a whole number with unit B, KiB or MiB; empty if the text is malformed. */
 [[nodiscard]] std::optional<std::uint64_t> parseSize(std::string_view text) noexcept;
 
-/** @return The percent of a whole number with `%`. */
+/** @return Percentage given as a whole number with `%`; empty if the text is malformed. */
 [[nodiscard]] std::optional<std::uint64_t> parsePercent(std::string_view text) noexcept;
 
-/** @return Whether this is `ip:port`, an IPv4 address and a port from 1, both as plain numbers. */
+/**
+ * @return Whether the text is `ip:port` with a numeric IPv4 address and a port from 1 to 65535 without leading zeros.
+ */
 [[nodiscard]] bool isAddress(std::string_view text);
 
-/** @return The duration with the largest unit that keeps it whole. */
+/** @return The duration as a whole number of the largest possible unit. */
 [[nodiscard]] std::string durationText(Duration duration);
 
-/** @return The size with the largest unit that keeps it whole. */
+/** @return The size as a whole number of the largest possible unit. */
 [[nodiscard]] std::string sizeText(std::uint64_t bytes);
 
-/** @return The file's bytes, or nothing with a finding; at most one byte more than `maxBytes` is read. */
+/**
+ * @brief Reads a file, up to one byte beyond a size limit, so that the caller can detect a file that is too large.
+ * @param file Path of the file.
+ * @param maxBytes Size limit.
+ * @param findings Receives a finding if the file can't be read.
+ * @return Content of the file, at most `maxBytes + 1` bytes; empty if the file can't be read.
+ */
 [[nodiscard]] std::optional<std::string> readFile(const std::string& file, std::size_t maxBytes, Findings& findings);
 
 } // namespace swiftlift::settings::internal
--- a/src/settings/Yaml.cpp
+++ b/src/settings/Yaml.cpp
@@ -15,20 +15,22 @@
 
 namespace {
 
-    /** Ends the parse of a document that has broken a bound. */
-    struct Refusal {
-        Place place;
+    /**
+     * Exception that ends the parsing of a document which exceeds a limit or uses a YAML feature that is not allowed.
+     */
+    struct RejectedDocument {
+        Position position;
         std::string message;
     };
 
-    [[nodiscard]] Place toPlace(const YAML::Mark& mark) noexcept { return { mark.line + 1, mark.column + 1 }; }
+    [[nodiscard]] Position toPosition(const YAML::Mark& mark) noexcept { return { mark.line + 1, mark.column + 1 }; }
 
-    [[nodiscard]] Finding toFinding(const std::string& source, Place place, std::string message)
+    [[nodiscard]] Finding toFinding(const std::string& source, Position position, std::string message)
     {
-        return { source, place.line, place.column, std::move(message) };
+        return { source, position.line, position.column, std::move(message) };
     }
 
-    /** Builds the tree out of the parser's events. */
+    /** Builds the tree of nodes from the parser's events. */
     class TreeBuilder final : public YAML::EventHandler {
     public:
         TreeBuilder(const std::string& source, Findings& findings)
@@ -44,21 +46,21 @@
 
         void OnNull(const YAML::Mark& mark, YAML::anchor_t anchor) override
         {
-            refuseAnchor(mark, anchor);
-            add({ YamlNode::Kind::Null, toPlace(mark), {}, false, {}, {} });
+            rejectAnchor(mark, anchor);
+            add({ YamlNode::Kind::Null, toPosition(mark), {}, false, {}, {} });
         }
 
         void OnAlias(const YAML::Mark& mark, YAML::anchor_t) override
         {
-            throw Refusal { toPlace(mark), "aliases are not allowed" };
+            throw RejectedDocument { toPosition(mark), "aliases are not allowed" };
         }
 
         void OnScalar(
             const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor, const std::string& value) override
         {
-            refuseAnchor(mark, anchor);
-            refuseTag(mark, tag);
-            add({ YamlNode::Kind::Scalar, toPlace(mark), value, tag == quotedTag, {}, {} });
+            rejectAnchor(mark, anchor);
+            rejectTag(mark, tag);
+            add({ YamlNode::Kind::Scalar, toPosition(mark), value, tag == quotedTag, {}, {} });
         }
 
         void OnSequenceStart(
@@ -78,40 +80,44 @@
         void OnMapEnd() override { close(); }
 
     private:
+        // Tags that the parser reports for scalars without an explicit tag: unquoted and quoted.
         static constexpr std::string_view plainTag = "?";
         static constexpr std::string_view quotedTag = "!";
 
-        /** A map or list whose end has not come yet. */
+        /** A map or list whose end has not been parsed yet. */
         struct OpenNode {
             YamlNode node;
-            /** Of a map: the key whose value comes next. */
+            /** Only for maps: the parsed key whose value has not been parsed yet. */
             std::optional<YamlNode> key;
         };
 
-        void refuseAnchor(const YAML::Mark& mark, YAML::anchor_t anchor) const
+        void rejectAnchor(const YAML::Mark& mark, YAML::anchor_t anchor) const
         {
             if (anchor != YAML::NullAnchor) {
-                throw Refusal { toPlace(mark), "anchors are not allowed" };
+                throw RejectedDocument { toPosition(mark), "anchors are not allowed" };
             }
         }
 
-        void refuseTag(const YAML::Mark& mark, const std::string& tag) const
+        void rejectTag(const YAML::Mark& mark, const std::string& tag) const
         {
             if (!tag.empty() && tag != plainTag && tag != quotedTag) {
-                throw Refusal { toPlace(mark), "tags are not allowed" };
+                throw RejectedDocument { toPosition(mark), "tags are not allowed" };
             }
         }
 
+        /** @brief Starts a map or list. */
         void open(YamlNode::Kind kind, const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor)
         {
-            refuseAnchor(mark, anchor);
-            refuseTag(mark, tag);
+            rejectAnchor(mark, anchor);
+            rejectTag(mark, tag);
             if (open_.size() >= maxYamlDepth) {
-                throw Refusal { toPlace(mark), "nested deeper than " + std::to_string(maxYamlDepth) + " levels" };
+                throw RejectedDocument { toPosition(mark),
+                    "nested deeper than " + std::to_string(maxYamlDepth) + " levels" };
             }
-            open_.push_back({ { kind, toPlace(mark), {}, false, {}, {} }, std::nullopt });
+            open_.push_back({ { kind, toPosition(mark), {}, false, {}, {} }, std::nullopt });
         }
 
+        /** @brief Ends the innermost open map or list and adds it to its parent. */
         void close()
         {
             YamlNode node = std::move(open_.back().node);
@@ -119,10 +125,11 @@
             add(std::move(node));
         }
 
+        /** @brief Adds a complete node to the innermost open map or list, or makes it the root. */
         void add(YamlNode node)
         {
-            if (++nodes_ > maxYamlNodes) {
-                throw Refusal { node.place, "more than " + std::to_string(maxYamlNodes) + " values" };
+            if (++nodeCount_ > maxYamlNodes) {
+                throw RejectedDocument { node.position, "more than " + std::to_string(maxYamlNodes) + " values" };
             }
             if (open_.empty()) {
                 root_ = std::move(node);
@@ -143,17 +150,17 @@
             const YamlNode key = std::move(*map.key);
             map.key.reset();
             if (key.kind != YamlNode::Kind::Scalar) {
-                findings_.push_back(toFinding(source_, key.place, "a key has to be a word"));
+                findings_.push_back(toFinding(source_, key.position, "a key has to be a word"));
                 return;
             }
-            map.node.entries.push_back({ key.scalar, key.place, std::move(value) });
+            map.node.entries.push_back({ key.scalar, key.position, std::move(value) });
         }
 
         const std::string& source_;
         Findings& findings_;
         YamlNode root_;
         std::vector<OpenNode> open_;
-        std::size_t nodes_ = 0;
+        std::size_t nodeCount_ = 0;
     };
 
     void parse(std::string_view text, TreeBuilder& builder, const std::string& source, Findings& findings)
@@ -174,29 +181,30 @@
 std::optional<YamlNode> loadYaml(
     std::string_view text, const std::string& source, std::size_t maxBytes, Findings& findings)
 {
-    const auto before = findings.size();
+    const auto findingsBefore = findings.size();
     if (text.size() > maxBytes) {
         findings.push_back({ source, 0, 0, "longer than " + std::to_string(maxBytes) + " bytes" });
         return std::nullopt;
     }
-    if (const auto place = findBadCharacter(text)) {
-        findings.push_back(toFinding(source, *place, "not UTF-8 text without control characters"));
+    if (const auto position = findInvalidCharacter(text)) {
+        findings.push_back(toFinding(source, *position, "not UTF-8 text without control characters"));
         return std::nullopt;
     }
     TreeBuilder builder(source, findings);
-    // The parser throws on bad YAML. A document comes from whoever may publish, so an exception that got through would
-    // end every router that follows the configuration; nothing may pass.
+    // The parser throws exceptions on malformed YAML. Every router parses every published document, so an exception
+    // that is not caught here would end all routers that follow the configuration.
     try {
         parse(text, builder, source, findings);
-    } catch (const Refusal& refusal) {
-        findings.push_back(toFinding(source, refusal.place, refusal.message));
+    } catch (const RejectedDocument& rejected) {
+        findings.push_back(toFinding(source, rejected.position, rejected.message));
     } catch (const YAML::Exception& error) {
-        const bool placed = !error.mark.is_null();
-        findings.push_back(toFinding(source, placed ? toPlace(error.mark) : Place {}, "not YAML: " + error.msg));
+        const bool hasPosition = !error.mark.is_null();
+        findings.push_back(
+            toFinding(source, hasPosition ? toPosition(error.mark) : Position {}, "not YAML: " + error.msg));
     } catch (const std::exception& error) {
         findings.push_back({ source, 0, 0, std::string("not YAML: ") + error.what() });
     }
-    if (findings.size() > before) {
+    if (findings.size() > findingsBefore) {
         return std::nullopt;
     }
     return builder.takeRoot();
--- a/src/settings/Yaml.h
+++ b/src/settings/Yaml.h
@@ -11,50 +11,53 @@
 
 namespace swiftlift::settings::internal {
 
-/** Place in a text, both from 1. */
-struct Place {
+/** Line and column of a text, both counted from 1; 0 stands for the whole text. */
+struct Position {
     int line = 0;
     int column = 0;
 };
 
 struct YamlEntry;
 
-/** A value of a YAML document with its place. */
+/** A value of a YAML document with its position. */
 struct YamlNode {
     enum class Kind : std::uint8_t { Null, Scalar, Sequence, Map };
 
     Kind kind = Kind::Null;
-    Place place;
+    Position position;
+    /** Only for scalars: the value as text. */
     std::string scalar;
-    /** Written in quotes or as a block: text, even when it looks like a number. */
+    /** Whether the scalar is quoted or a block, and so a text even if it looks like a number. */
     bool quoted = false;
+    /** Only for sequences: the elements. */
     std::vector<YamlNode> items;
+    /** Only for maps: the entries in the order of the document; keys may repeat. */
     std::vector<YamlEntry> entries;
 };
 
-/** A key of a map with its value. */
+/** A key of a map with its position and value. */
 struct YamlEntry {
     std::string key;
-    Place place;
+    Position position;
     YamlNode value;
 };
 
-/** Maps and lists in one another; the deepest schema here needs four. */
+/** Maximum nesting depth of maps and lists; the deepest schema needs four levels. */
 inline constexpr std::size_t maxYamlDepth = 16;
-/** Values in one document. */
+/** Maximum number of values in one document. */
 inline constexpr std::size_t maxYamlNodes = 50'000;
 
 /**
- * @brief Reads one YAML document into a tree, within bounds. Never throws.
+ * @brief Parses one YAML document of limited size and depth into a tree. Never throws.
  *
- * Anchors, aliases and tags are refused: a few aliases of aliases stand for billions of values (an alias bomb), and no
- * document here needs any.
+ * Anchors, aliases and tags are rejected: no schema needs them, and a few nested aliases can stand for billions of
+ * values (an alias bomb).
  *
  * @param text The whole document.
  * @param source Name of the document, for the findings.
- * @param maxBytes Longer texts are refused unread.
- * @param findings Takes what is wrong with the text as YAML.
- * @return The tree; nothing when anything was found.
+ * @param maxBytes Maximum size of the text; longer texts are rejected without parsing.
+ * @param findings Receives the errors of the text as YAML.
+ * @return The tree; empty if the text has errors.
  */
 [[nodiscard]] std::optional<YamlNode> loadYaml(
     std::string_view text, const std::string& source, std::size_t maxBytes, Findings& findings);
--- a/tests/settings/ExamplesTest.cpp
+++ b/tests/settings/ExamplesTest.cpp
@@ -17,7 +17,7 @@
 
     namespace fs = std::filesystem;
 
-    /** An example deployment under deploy/, and the sizes it is meant for. */
+    /** An example deployment under deploy/ with its expected VMs, weighting and plain service. */
     struct Example {
         std::string name;
         std::map<std::string, std::size_t> vmsOfDomain;
@@ -83,14 +83,14 @@
     EXPECT_TRUE(operators.empty());
 }
 
-TEST_P(Examples, HaveTheSizesOfToday)
+TEST_P(Examples, HaveTheExpectedNumbersOfBackendsAndAccounts)
 {
-    constexpr std::size_t poolSize = 20;
-    constexpr std::size_t plainSize = 4;
+    constexpr std::size_t modelBackends = 20;
+    constexpr std::size_t plainBackends = 4;
     for (const auto& service : readServices()) {
         const bool isPlain = service.service.value() == GetParam().plainService;
         EXPECT_EQ(service.kind, isPlain ? BackendKind::Plain : BackendKind::Model);
-        EXPECT_EQ(service.backends.size(), isPlain ? plainSize : poolSize);
+        EXPECT_EQ(service.backends.size(), isPlain ? plainBackends : modelBackends);
         EXPECT_EQ(service.accounts.size(), 10U);
         EXPECT_EQ(service.weighting, GetParam().weighting);
         for (const auto& backend : service.backends) {
--- a/tests/settings/RouterSettingsTest.cpp
+++ b/tests/settings/RouterSettingsTest.cpp
@@ -49,11 +49,13 @@
 
 TEST(RouterSettings, ReadsEveryOptionalKey)
 {
-    const std::string more = "peers:\n  seeds: [127.0.1.2:7400]\n  via: {\"127.0.2.1:7400\": \"127.0.8.1:7400\"}\n"
-                             "ledger: {shards: 4, policy: static_split, split_ways: 6}\nrouting: {policy: least_load}\n"
-                             "stop: {limit: 2m}\nlogging: {file: /tmp/router.log, level: debug}\nseed: 42\n";
+    const std::string optionalKeys
+        = "peers:\n  seeds: [127.0.1.2:7400]\n  via: {\"127.0.2.1:7400\": \"127.0.8.1:7400\"}\n"
+          "ledger: {shards: 4, policy: static_split, split_ways: 6}\nrouting: {policy: least_load}\n"
+          "stop: {limit: 2m}\nlogging: {file: /tmp/router.log, level: debug}\nseed: 42\n";
     Findings findings;
-    const auto settings = parseRouterSettings(std::string(test::routerSettings) + more, "router.yaml", findings);
+    const auto settings
+        = parseRouterSettings(std::string(test::routerSettings) + optionalKeys, "router.yaml", findings);
     ASSERT_TRUE(settings.has_value()) << testing::PrintToString(texts(findings));
     EXPECT_THAT(settings->peers.seeds, ElementsAre(PeerAddress("127.0.1.2:7400")));
     EXPECT_EQ(settings->peers.via.at(PeerAddress("127.0.2.1:7400")), Endpoint("127.0.8.1:7400"));
@@ -66,7 +68,7 @@
     EXPECT_EQ(settings->seed, 42U);
 }
 
-TEST(RouterSettings, ReportsEverythingWithItsPlace)
+TEST(RouterSettings, ReportsEveryErrorWithItsPosition)
 {
     const auto text = replaced(test::routerSettings, "8002}", "8001}")
         + "peers:\n  seeds: [127.0.1.2:7400, 127.0.1.2:7400]\n"
@@ -90,7 +92,7 @@
     EXPECT_THAT(texts(findings), ElementsAre("0:0: the file cannot be opened", "0:0: the file cannot be read"));
 }
 
-TEST(CtlSettings, ReadsAndReports)
+TEST(CtlSettings, ReadsSettingsAndReportsErrors)
 {
     Findings findings;
     const auto settings = parseCtlSettings("author: mina\nlog: {endpoints: [127.0.9.1:9000], timeout: 500ms}\n"
--- a/tests/settings/Samples.h
+++ b/tests/settings/Samples.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::settings::test {
 
-/** Documents and settings without findings; a test breaks them at one place. */
+/** Valid documents and settings; tests change single parts of them to provoke findings. */
 inline constexpr std::string_view modelDocument = R"(service: stitch-plans
 kind: model
 model: punch-7b
@@ -55,7 +55,7 @@
 vm_list: {endpoint: 127.0.9.1:9001}
 )";
 
-/** @return The text with the one place where `from` stands replaced. */
+/** @return The text with the first occurrence of `from` replaced by `to`. */
 inline std::string replaced(std::string_view text, std::string_view from, std::string_view to)
 {
     std::string result(text);
--- a/tests/settings/ServiceDocumentTest.cpp
+++ b/tests/settings/ServiceDocumentTest.cpp
@@ -27,8 +27,8 @@
         return texts(findings);
     }
 
-    /** The document with every key written out, as a team would. */
-    std::string written(const ServiceDocument& document)
+    /** @return The document as YAML text with all keys of its kind, including those at their defaults. */
+    std::string toYaml(const ServiceDocument& document)
     {
         std::ostringstream out;
         const bool isModel = document.kind == BackendKind::Model;
@@ -79,17 +79,18 @@
             Backend { BackendId("127.0.11.2:8100"), FailureDomain("regina-b") }));
 }
 
-TEST(ServiceDocument, SurvivesARoundTrip)
+TEST(ServiceDocument, RoundTripPreservesTheDocument)
 {
     for (const auto text : { modelDocument, plainDocument }) {
         Findings findings;
         const auto document = parseServiceDocument(text, "doc", findings);
         ASSERT_TRUE(document.has_value());
-        const auto again = parseServiceDocument(written(*document), "doc", findings);
-        EXPECT_EQ(document, again) << testing::PrintToString(texts(findings));
+        const auto reparsed = parseServiceDocument(toYaml(*document), "doc", findings);
+        EXPECT_EQ(document, reparsed) << testing::PrintToString(texts(findings));
     }
 }
 
+/** One change of `modelDocument` and the start of the single finding that it causes. */
 struct FindingCase {
     std::string name;
     std::string from;
@@ -99,7 +100,7 @@
 
 class OneFinding : public testing::TestWithParam<FindingCase> { };
 
-TEST_P(OneFinding, NamesItsPlace)
+TEST_P(OneFinding, NamesItsPosition)
 {
     const auto& [name, from, to, finding] = GetParam();
     EXPECT_THAT(findingsOf(replaced(modelDocument, from, to)), ElementsAre(StartsWith(finding)));
@@ -150,7 +151,7 @@
         FindingCase { "BrokenUtf8", "punch-7b", "\xC3\x28", "3:8: not UTF-8 text" }),
     [](const auto& each) { return each.param.name; });
 
-TEST(ServiceDocument, ReportsEverythingInOnePassInTheOrderOfPlaces)
+TEST(ServiceDocument, ReportsAllErrorsInOnePassSortedByPosition)
 {
     const std::string text = "service: a b\nkind: model\nmodel: m\ncolour: red\naccounts:\n"
                              "- {account: x, budget: y, weight: 0}\nlimits:\n  deadline: soon\n  max_body: 1GB\n"
@@ -163,7 +164,7 @@
             StartsWith("12:3: backends[1]: missing key \"address\"")));
 }
 
-TEST(ServiceDocument, RefusesModelKeysInAPlainService)
+TEST(ServiceDocument, RejectsModelKeysInAPlainService)
 {
     EXPECT_THAT(findingsOf(replaced(plainDocument, "call_cost: 5", "max_answer_tokens: 5")),
         ElementsAre(StartsWith("6:3: limits: missing key \"call_cost\""),
@@ -172,24 +173,23 @@
         ElementsAre("1:1: missing key \"limits\""));
 }
 
-// Symptom: a router that follows the configuration eats all memory and is killed.
-// Sequence: someone publishes a document of a few lines whose aliases of aliases stand for 10^9 values.
-// Cause: a reader that expands aliases. Here the first anchor ends the reading.
-TEST(ServiceDocument, RefusesAnAliasBomb)
+// Guards against routers that run out of memory and are killed because they expand aliases: a published document of a
+// few lines can stand for 10^9 values by nested aliases. Parsing has to end at the first anchor.
+TEST(ServiceDocument, RejectsAnAliasBomb)
 {
     std::string bomb = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n";
     for (int level = 1; level < 10; ++level) {
-        const auto former = "*a" + std::to_string(level - 1);
-        bomb += "a" + std::to_string(level) + ": &a" + std::to_string(level) + " [" + former;
+        const auto previousAlias = "*a" + std::to_string(level - 1);
+        bomb += "a" + std::to_string(level) + ": &a" + std::to_string(level) + " [" + previousAlias;
         for (int repeat = 1; repeat < 10; ++repeat) {
-            bomb += ", " + former;
+            bomb += ", " + previousAlias;
         }
         bomb += "]\n";
     }
     EXPECT_THAT(findingsOf(bomb), ElementsAre("1:5: anchors are not allowed"));
 }
 
-TEST(ServiceDocument, BoundsSizeNestingAndNumberOfValues)
+TEST(ServiceDocument, LimitsSizeNestingAndNumberOfValues)
 {
     EXPECT_THAT(findingsOf(std::string(maxDocumentBytes + 1, ' ')), ElementsAre("0:0: longer than 262144 bytes"));
     EXPECT_THAT(findingsOf("a: " + std::string(100'000, '[')), ElementsAre(HasSubstr("nested deeper than 16 levels")));
@@ -204,18 +204,19 @@
     EXPECT_THAT(findingsOf("- a"), ElementsAre(StartsWith("1:1: expected a map, found a list")));
 }
 
-// Symptom: all routers end at once. Sequence: an operator publishes a file that is no text, or a half-written one.
-// Cause: an exception of the YAML library that nobody caught. Whatever the bytes, there is a document or a finding.
-TEST(ServiceDocument, AnswersAnyBytesWithADocumentOrAFinding)
+// Guards against an uncaught exception of the YAML library, which would end all routers at once when an operator
+// publishes a binary or incomplete file. For any bytes, the result has to be a document or a finding.
+TEST(ServiceDocument, ReturnsADocumentOrAFindingForAnyBytes)
 {
     constexpr int rounds = 3'000;
     std::mt19937 random(7);
-    const std::string spice = "{}[]:-?&*!|>'\"%@`#,\n\t \\~";
+    const std::string specialCharacters = "{}[]:-?&*!|>'\"%@`#,\n\t \\~";
     for (int round = 0; round < rounds; ++round) {
         std::string text(modelDocument);
         const auto changes = 1 + random() % 12;
         for (std::size_t change = 0; change < changes; ++change) {
-            const char letter = random() % 2 == 0 ? spice[random() % spice.size()] : static_cast<char>(random() % 256);
+            const char letter = random() % 2 == 0 ? specialCharacters[random() % specialCharacters.size()]
+                                                  : static_cast<char>(random() % 256);
             text[random() % text.size()] = letter;
         }
         if (random() % 4 == 0) {
