--- a/include/swiftlift/transport/ActionExecutor.h
+++ b/include/swiftlift/transport/ActionExecutor.h
@@ -15,8 +15,8 @@
 
 namespace swiftlift::transport {
 
-/** The threads that do I/O for the decision thread. */
-struct Duties {
+/** References to the components, each with threads of its own, that do I/O for the decision thread. */
+struct ActionTargets {
     StreamServer& streams;
     LogClient& log;
     PeerLinks& peers;
@@ -26,40 +26,41 @@
     logging::JsonLog& journal;
 };
 
-/** Hands each of the core's actions to the thread whose duty it is. Lives in the decision thread. */
+/** Passes each action of the core to the component that carries it out. Used only in the decision thread. */
 class ActionExecutor : public ActionSink {
 public:
-    explicit ActionExecutor(Duties duties);
+    /** @param duties Components that carry the actions out; all outlive the executor. */
+    explicit ActionExecutor(ActionTargets targets);
 
     void execute(node::Action&& action) override;
     void flush() override;
     void beginIncarnation(Incarnation incarnation) override;
 
-    /** @return Whether the core has said that the process may exit; for any thread. */
+    /** @return Whether the core has reported that the process may exit. Can be called from any thread. */
     [[nodiscard]] bool stopReady() const noexcept { return stopReady_.load(); }
 
 private:
-    void take(node::Dispatch&& action);
-    void take(const node::CancelAttempt& action);
-    void take(node::Reply&& action);
-    void take(node::Append&& action);
-    void take(node::Follow&& action);
-    void take(const node::ExpediteRead& action);
-    void take(node::SendPeer&& action);
-    void take(node::WatchBackends&& action);
-    void take(node::SendOrder&& action);
-    void take(node::LogLine&& action);
-    void take(node::CountMetric&& action);
-    void take(node::GaugeMetric&& action);
-    void take(node::OperatorReply&& action);
-    void take(node::StopReady&& action);
-    void take(node::Restart&& action);
-    void take(node::ProxyDispatch&& action);
-    void take(const node::ProxyFailureReply& action);
-    void take(const node::AnnounceReadiness& action);
-    void take(const node::SetCallerLimits& action);
+    void carryOut(node::Dispatch&& action);
+    void carryOut(const node::CancelAttempt& action);
+    void carryOut(node::Reply&& action);
+    void carryOut(node::Append&& action);
+    void carryOut(node::Follow&& action);
+    void carryOut(const node::ExpediteRead& action);
+    void carryOut(node::SendPeer&& action);
+    void carryOut(node::WatchBackends&& action);
+    void carryOut(node::SendOrder&& action);
+    void carryOut(node::LogLine&& action);
+    void carryOut(node::CountMetric&& action);
+    void carryOut(node::GaugeMetric&& action);
+    void carryOut(node::OperatorReply&& action);
+    void carryOut(node::StopReady&& action);
+    void carryOut(node::Restart&& action);
+    void carryOut(node::ProxyDispatch&& action);
+    void carryOut(const node::ProxyFailureReply& action);
+    void carryOut(const node::AnnounceReadiness& action);
+    void carryOut(const node::SetCallerLimits& action);
 
-    Duties duties_;
+    ActionTargets targets_;
     ring::Outbox<StreamCommand> streamCommands_;
     ring::Outbox<PlatformCommand> platformCommands_;
     std::deque<node::Append> appends_;
--- a/include/swiftlift/transport/ControlTraffic.h
+++ b/include/swiftlift/transport/ControlTraffic.h
@@ -5,13 +5,13 @@
 
 namespace swiftlift::transport {
 
-/** Bytes of one kind of control traffic, counted by the thread that moves them. */
+/** Bytes of one kind of control traffic, counted by the threads that send and receive them. */
 struct TrafficCounter {
     std::atomic<std::uint64_t> sent = 0;
     std::atomic<std::uint64_t> received = 0;
 };
 
-/** What the router spends on control, apart from callers' requests and their answers. */
+/** Bytes of the router's control traffic, by counterpart. Callers' requests and their answers are not included. */
 struct ControlTraffic {
     TrafficCounter peers;
     TrafficCounter log;
--- a/include/swiftlift/transport/Decider.h
+++ b/include/swiftlift/transport/Decider.h
@@ -10,7 +10,7 @@
 
 namespace swiftlift::transport {
 
-/** What the decision thread drives: `node::Core` in the product, something smaller in tests. */
+/** Interface of the logic that runs in the decision thread: `node::Core` in the product, a test double in tests. */
 class Decider {
 public:
     Decider() = default;
@@ -18,11 +18,22 @@
     Decider(const Decider&) = delete;
     Decider& operator=(const Decider&) = delete;
 
+    /**
+     * @brief Called once, before the first event.
+     * @param now Current time of the steady clock.
+     * @param actions Receives the actions to execute.
+     */
     virtual void start(Instant now, node::Actions& actions) = 0;
+    /**
+     * @brief Handles one event.
+     * @param event The event.
+     * @param now Current time of the steady clock; never earlier than in the previous call.
+     * @param actions Receives the actions to execute.
+     */
     virtual void handle(const node::Event& event, Instant now, node::Actions& actions) = 0;
 };
 
-/** Makes a decider for a life of this process; called again when an incarnation has been retired. */
+/** Creates the decider of an incarnation. Called once at start and again after each retired incarnation. */
 using DeciderFactory = std::function<std::unique_ptr<Decider>(Incarnation)>;
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/DecisionLoop.h
+++ b/include/swiftlift/transport/DecisionLoop.h
@@ -12,24 +12,27 @@
 
 namespace swiftlift::transport {
 
-/** @return The moment of the steady clock, as the core's time. */
+/** @return The current time of the steady clock, as the `Instant` that the core uses. */
 [[nodiscard]] Instant steadyInstant() noexcept;
 
-/** @return A random number that is not 0. */
+/** @return A random incarnation number; never 0, which stands for no incarnation. */
 [[nodiscard]] Incarnation drawIncarnation();
 
 /**
- * @brief The decision thread: takes events from its ring, lets the decider handle each, has its actions carried out.
+ * @brief The decision thread: takes events from its ring, passes each to the decider and the decider's actions to the
+ * sink.
  */
 class DecisionLoop {
 public:
-    /** Between two ticks of the core, which asks for one every 50 ms at least. */
+    /** Interval between two ticks. The core requires a tick at least every 50 ms. */
     static constexpr Duration defaultTick = std::chrono::milliseconds(20);
 
     /**
-     * @param first Incarnation of the first decider; later ones are drawn.
+     * @param first Incarnation of the first decider; the incarnations of its successors are random.
+     * @param factory Creates the decider of each incarnation.
      * @param inbox Ring of events; outlives the loop.
-     * @param sink Takes the actions; outlives the loop.
+     * @param sink Receives the actions; outlives the loop.
+     * @param tick Interval between two ticks.
      */
     DecisionLoop(
         Incarnation first, DeciderFactory factory, DecisionInbox& inbox, ActionSink& sink, Duration tick = defaultTick);
@@ -39,20 +42,20 @@
 
     void start();
 
-    /** Ends the thread; what is in the ring stays there. */
+    /** Ends the thread. Events that are still in the ring stay there. */
     void stop();
 
-    /** @return How often a retired core has been replaced. */
+    /** @return Number of retired deciders that have been replaced so far. */
     [[nodiscard]] std::uint64_t replacements() const noexcept { return replacements_.load(); }
 
 private:
     void run();
-    void begin(Incarnation incarnation);
-    void handleWaiting();
+    void startIncarnation(Incarnation incarnation);
+    void handlePendingEvents();
     void handle(const node::Event& event);
     void tickWhenDue();
-    void carryOutAll();
-    [[nodiscard]] bool isForUs(const TaggedEvent& tagged) const noexcept;
+    void executeActions();
+    [[nodiscard]] bool isForCurrentIncarnation(const TaggedEvent& tagged) const noexcept;
 
     Incarnation incarnation_;
     DeciderFactory factory_;
--- a/include/swiftlift/transport/Endpoint.h
+++ b/include/swiftlift/transport/Endpoint.h
@@ -7,7 +7,7 @@
 
 namespace swiftlift::transport {
 
-/** An IP address and a port; never a name, because nothing here resolves names. */
+/** An IP address and a port. Host names are not supported: the router resolves none. */
 struct Endpoint {
     std::string ip;
     std::uint16_t port = 0;
@@ -16,12 +16,12 @@
 };
 
 /**
- * @param text As `ip:port`, both numbers.
- * @return The endpoint; nothing when the text is none.
+ * @param text `ip:port`, with an IPv4 address and a decimal port.
+ * @return The endpoint; `nullopt` if the text is malformed.
  */
 [[nodiscard]] std::optional<Endpoint> parseEndpoint(std::string_view text);
 
-/** @return `ip:port`. */
+/** @return The endpoint as `ip:port`. */
 [[nodiscard]] std::string toText(const Endpoint& endpoint);
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/HttpClient.h
+++ b/include/swiftlift/transport/HttpClient.h
@@ -10,6 +10,7 @@
 
 namespace swiftlift::transport {
 
+/** An HTTP request. */
 struct HttpRequest {
     /** `GET` or `POST`. */
     std::string method = "GET";
@@ -18,16 +19,17 @@
     std::string body;
 };
 
+/** An HTTP response. */
 struct HttpResponse {
     int status = 0;
     std::string body;
 };
 
 /**
- * @brief HTTP client that waits for its answers, with a time limit for the whole of each call. For one thread.
+ * @brief Blocking HTTP client with one timeout for the whole of each call. Not thread-safe, apart from cancel().
  *
- * Keeps its connection. A call whose kept connection turns out closed is not repeated here: whether it took effect is
- * the caller's to find out.
+ * Reuses its connection. A call that fails because the reused connection has been closed is not retried here: the
+ * request may have taken effect, which only the caller can determine.
  */
 class HttpClient {
 public:
@@ -37,20 +39,22 @@
     HttpClient& operator=(HttpClient&&) noexcept;
 
     /**
-     * @param request What to ask.
-     * @param limit For everything: connect, write, read.
-     * @return The answer, of any status; nothing when none came: see lastReason().
+     * @param request The request to send.
+     * @param limit Timeout for connecting, writing and reading together.
+     * @return The response, whatever its status; `nullopt` if there was none, with the reason in lastReason().
      */
     [[nodiscard]] std::optional<HttpResponse> call(const HttpRequest& request, std::chrono::milliseconds limit);
 
-    /** Makes a call() under way, and each later one, fail at once. The one function for other threads. */
+    /** Makes the current call() and each later call() fail at once. Can be called from any thread. */
     void cancel();
 
+    /** @return Why the last failed call() got no response. */
     [[nodiscard]] const std::string& lastReason() const noexcept;
     [[nodiscard]] const Endpoint& endpoint() const noexcept;
 
-    /** @return Bytes of all calls so far, headers included. */
+    /** @return Bytes sent by all calls so far, headers included. */
     [[nodiscard]] std::uint64_t bytesSent() const noexcept;
+    /** @return Bytes received by all calls so far, headers included. */
     [[nodiscard]] std::uint64_t bytesReceived() const noexcept;
 
 private:
--- a/include/swiftlift/transport/LineMatcher.h
+++ b/include/swiftlift/transport/LineMatcher.h
@@ -9,21 +9,21 @@
 
 namespace swiftlift::transport {
 
-/** The next token of the answer. */
+/** A line with the next token of the answer. */
 struct TokenLine {
     std::string token;
 };
-/** A token that the caller already has. */
+/** A line with a token that the caller has already received. */
 struct RepeatedLine { };
-/** A line of another request or another attempt, or no line at all; never to be passed on. */
+/** A line of another request or another attempt, or one that isn't a JSON object; must never reach the caller. */
 struct ForeignLine {
     std::string reason;
 };
-/** Our line, but it can't be: tokens are missing, or there are more than were asked for. */
+/** A line of this attempt that is invalid: malformed, after missing tokens, or beyond the requested token count. */
 struct BrokenLine {
     std::string reason;
 };
-/** The last line of a whole answer. */
+/** The last line of a complete answer, with the engine's token counts. */
 struct DoneLine {
     Tokens promptTokens;
     Tokens answerTokens;
@@ -33,26 +33,29 @@
 using MatchedLine = std::variant<TokenLine, RepeatedLine, ForeignLine, BrokenLine, DoneLine>;
 
 /**
- * @brief Decides which of an engine's lines belong to an attempt, and in which order.
+ * @brief Checks that each line from an engine belongs to one attempt and carries the next token.
  *
- * What goes wrong without it: an engine under load, or a link that crosses connections, hands one caller a token of
- * another one's answer, or hands a token late from an earlier attempt. It shows as a line whose key or attempt is not
- * ours, or whose index is not the next one. Such lines never reach the caller, and an answer with a hole is never
- * called whole.
+ * An engine under load, or a link that mixes up connections, can deliver a token of another caller's answer, or a late
+ * token of an earlier attempt. Such a line has a different key or attempt, or an index other than the next one. Such
+ * lines are never passed to the caller, and an answer with missing tokens is never reported as complete.
  */
 class LineMatcher {
 public:
     /**
      * @param key The request's key, as 32 hexadecimal digits.
-     * @param attempt The attempt, as the engine was told it.
-     * @param next Index of the first token that the caller has not got.
-     * @param most Most tokens of the answer; 0: no bound.
+     * @param attempt The attempt's identifier that was sent to the engine.
+     * @param next Index of the first token that the caller has not yet received.
+     * @param maxTokens Maximum number of tokens in the answer; 0 means no maximum.
      */
-    LineMatcher(std::string key, std::string attempt, std::int64_t next, std::int64_t most);
+    LineMatcher(std::string key, std::string attempt, std::int64_t next, std::int64_t maxTokens);
 
+    /**
+     * @param line A line from the engine, without its line break.
+     * @return The line's classification and content.
+     */
     [[nodiscard]] MatchedLine match(std::string_view line);
 
-    /** @return Index of the first token that has not come. */
+    /** @return Index of the first token that has not yet been received. */
     [[nodiscard]] std::int64_t next() const noexcept { return next_; }
 
 private:
@@ -62,7 +65,7 @@
     std::string key_;
     std::string attempt_;
     std::int64_t next_;
-    std::int64_t most_;
+    std::int64_t maxTokens_;
 };
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/LogClient.h
+++ b/include/swiftlift/transport/LogClient.h
@@ -14,47 +14,57 @@
 
 namespace swiftlift::transport {
 
+/** Addresses, timeouts and limits of the log client. */
 struct LogClientSettings {
-    /** Tried one after the other. */
+    /** Addresses of the log; after a failed call the next address is used. */
     std::vector<Endpoint> endpoints;
-    /** How long the log may hold an empty read back. */
+    /** How long the log may wait for new records before it answers a read with none (long poll). */
     std::chrono::milliseconds pollWait { 2'000 };
-    /** For a read, beyond pollWait. */
+    /** Timeout of a read, in addition to pollWait. */
     std::chrono::milliseconds readLimit { 2'000 };
+    /** Timeout of an append. */
     std::chrono::milliseconds appendLimit { 3'000 };
+    /** Backoff after the first failed read. */
     std::chrono::milliseconds retryFirst { 200 };
+    /** Maximum backoff; it doubles with each further failed read. */
     std::chrono::milliseconds retryMost { 2'000 };
+    /** Maximum number of records that one read requests. */
     std::uint32_t recordsPerRead = 500;
 };
 
 /**
- * @brief The platform's log: one thread for appends, one for each stream that is followed.
+ * @brief Client of the platform's log: one thread for appends, and one for each stream that is followed.
  *
- * Each read that succeeds is told as LogRecords, an empty one too, so that the core knows that the log is reachable.
- * A failed read is told as LogUnreachable and tried again, later and later. An append is made once: whether one without
- * an answer took effect is known only when the stream is read back.
+ * Each successful read is reported to the core as LogRecords, even an empty one, so that the core can tell that the log
+ * is reachable. A failed read is reported as LogUnreachable and retried with exponential backoff. An append is sent
+ * once and never retried: if no answer comes, only reading the stream back shows whether the append took effect.
  */
 class LogClient {
 public:
-    /** What is given by reference outlives the client. */
+    /** Arguments that are passed by reference must outlive the client. */
     LogClient(LogClientSettings settings, std::shared_ptr<const LogDialect> dialect, DecisionInbox& decisions,
         ControlTraffic& traffic);
     ~LogClient();
     LogClient(const LogClient&) = delete;
     LogClient& operator=(const LogClient&) = delete;
 
-    /** Ends the followers of an earlier incarnation. The functions here are for the decision thread, and never block.
+    /**
+     * @brief Ends the followers of the earlier incarnation; later events carry the new incarnation.
+     *
+     * beginIncarnation(), follow(), readSoon() and append() are for the decision thread and never block.
      */
     void beginIncarnation(Incarnation incarnation);
+    /** Reads a stream from an offset on; replaces an earlier follower of the stream. */
     void follow(const node::Follow& follow);
-    /** Ends the pause before the stream's next read; of a stream that is not followed nothing happens. */
+    /** Ends the pause before the stream's next read. Does nothing if the stream is not followed. */
     void readSoon(const StreamName& stream);
     /**
-     * @param append Moved from only on success.
-     * @return Whether there was room.
+     * @param append The append to send; moved from only on success.
+     * @return Whether the append was queued; false if the queue is full.
      */
     [[nodiscard]] bool append(node::Append& append);
 
+    /** Ends all threads. Pending reads and appends are cancelled. */
     void stop();
 
 private:
--- a/include/swiftlift/transport/LogDialect.h
+++ b/include/swiftlift/transport/LogDialect.h
@@ -14,41 +14,46 @@
 
 namespace swiftlift::transport {
 
-/** What a read of a stream brought. */
+/** Result of reading records from a stream. */
 struct LogRead {
-    /** In order, from the offset that was asked for. */
+    /** Records in order, the first at the requested offset. */
     std::vector<std::string> records;
-    /** Offset that the next record will have. */
+    /** End of the stream: the offset of the next record to be appended. */
     Offset end;
 };
-/** The records asked for have expired. */
+/** The requested records have expired. */
 struct LogGone {
+    /** Oldest offset that the log still holds. */
     Offset oldest;
 };
-/** All keys of a stream, or as many as fit one answer. */
+/** The newest record of each key of a keyed stream, or one page of them. */
 struct NewestRead {
     std::vector<node::KeyedRecord> records;
     Offset end;
-    /** There are more keys, after `lastKey`. */
+    /** Whether there are further keys after `lastKey`. */
     bool more = false;
     std::string lastKey = {};
     std::vector<node::UnreadableRecord> unreadable = {};
 };
-/** No answer that means anything. */
+/** A refusal by the log, or an answer that can't be decoded. */
 struct LogProblem {
     std::string detail;
 };
 
-/** What is asked for by a read. */
+/** Parameters of a read. */
 struct LogPosition {
     StreamName stream;
     Offset from;
-    /** How long the log may hold an empty answer back. */
+    /** How long the log may wait for new records before it answers with none (long poll). */
     std::chrono::milliseconds wait { 0 };
     std::uint32_t maxRecords = 500;
 };
 
-/** How a log service is spoken to: its paths, its bodies, its refusals. Translates and decides nothing. */
+/**
+ * @brief Protocol of a log service: builds requests and decodes answers.
+ *
+ * Only translates; retries and other decisions are the caller's.
+ */
 class LogDialect {
 public:
     LogDialect() = default;
@@ -56,18 +61,25 @@
     LogDialect(const LogDialect&) = delete;
     LogDialect& operator=(const LogDialect&) = delete;
 
+    /** @return The request that appends a record. */
     [[nodiscard]] virtual HttpRequest append(const node::Append& append) const = 0;
-    /** @return Why the append did not take effect, or may not have; nothing: it did. */
+    /** @return Why the append failed or may have failed; `nullopt` if it took effect. */
     [[nodiscard]] virtual std::optional<LogProblem> appendProblem(const HttpResponse& answer) const = 0;
 
+    /** @return The request that reads records. */
     [[nodiscard]] virtual HttpRequest read(const LogPosition& position) const = 0;
+    /** @param from The offset that was requested. */
     [[nodiscard]] virtual std::variant<LogRead, LogGone, LogProblem> readAnswer(
         const HttpResponse& answer, Offset from) const = 0;
 
-    /** @param after The last key read so far; empty: from the first one on. */
+    /**
+     * @param stream A keyed stream.
+     * @param after The last key of the previous page; empty for the first page.
+     * @return The request that reads a page of the newest record of each key.
+     */
     [[nodiscard]] virtual HttpRequest newest(const StreamName& stream, const std::string& after) const = 0;
     [[nodiscard]] virtual std::variant<NewestRead, LogProblem> newestAnswer(const HttpResponse& answer) const = 0;
-    /** @return A keyed stream's record, taken apart; nothing when it can't be. */
+    /** @return The decoded record of a keyed stream; `nullopt` if it can't be decoded. */
     [[nodiscard]] virtual std::optional<node::KeyedRecord> keyedRecord(
         Offset offset, const std::string& record) const = 0;
 };
--- a/include/swiftlift/transport/Metrics.h
+++ b/include/swiftlift/transport/Metrics.h
@@ -17,30 +17,31 @@
 using MetricInbox = ring::Inbox<MetricUpdate>;
 
 /**
- * @brief The metrics thread, and Prometheus' listener with its own.
+ * @brief The metrics thread, and the Prometheus listener with a thread of its own.
  *
- * Families are named as the core names them, with `swiftlift_` before it where the core leaves that out. The core is
- * trusted to keep labels few; the number of series is bounded all the same, because a label that takes a caller's text
- * would let callers fill the memory.
+ * Metric families have the names that the core uses, with the prefix `swiftlift_` added where it is missing. The core
+ * is expected to use few label values. The number of series is limited nevertheless, because a label with text from a
+ * caller would let callers fill the memory.
  */
 class Metrics : public StreamObserver {
 public:
-    /** @param traffic Control traffic, read at each scrape; outlives the metrics. */
+    /** @param traffic Control traffic, read at each scrape; outlives this object. */
     explicit Metrics(const ControlTraffic& traffic);
     ~Metrics() override;
 
-    /** @return Whether the address could be taken; else see lastReason(). */
+    /** @return Whether the address could be bound; if not, lastReason() has the reason. */
     [[nodiscard]] bool listen(const Endpoint& endpoint);
     [[nodiscard]] const std::string& lastReason() const noexcept;
+    /** @return The port of the Prometheus listener; 0 if it doesn't listen. */
     [[nodiscard]] std::uint16_t port() const;
 
     void start();
     void stop();
 
-    /** @return The ring of this thread. */
+    /** @return The ring from which the metrics thread takes updates. */
     [[nodiscard]] MetricInbox& inbox() noexcept;
 
-    /** Adds a gauge that is read at each scrape, in the scraping thread. */
+    /** Adds a gauge whose value is read at each scrape, in the thread of the Prometheus listener. */
     void addReading(std::string name, std::string help, std::function<double()> read);
 
     void firstToken(std::chrono::microseconds sinceArrival) override;
@@ -51,9 +52,9 @@
     std::unique_ptr<State> state_;
 };
 
-/** CPU seconds that this process has used. */
+/** @return CPU time that this process has used, in seconds. */
 [[nodiscard]] double processCpuSeconds();
-/** Bytes of this process in memory. */
+/** @return Resident memory of this process, in bytes. */
 [[nodiscard]] double processResidentBytes();
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/NativeLogDialect.h
+++ b/include/swiftlift/transport/NativeLogDialect.h
@@ -4,7 +4,7 @@
 
 namespace swiftlift::transport {
 
-/** The project's own log protocol, see docs/PROTOCOLS.md: protobuf bodies, no keyed streams. */
+/** The project's own log protocol, with protobuf bodies and without keyed streams; see docs/PROTOCOLS.md. */
 class NativeLogDialect : public LogDialect {
 public:
     [[nodiscard]] HttpRequest append(const node::Append& append) const override;
--- a/include/swiftlift/transport/OperatorServer.h
+++ b/include/swiftlift/transport/OperatorServer.h
@@ -12,24 +12,27 @@
 namespace swiftlift::transport {
 
 /**
- * @brief Operators' questions over HTTP, see docs/PROTOCOLS.md section 7. In threads of its own.
+ * @brief HTTP server for operators' queries, with threads of its own; see docs/PROTOCOLS.md section 7.
  *
- * Each question is put to the decision thread and waited for, but not for long.
+ * Each query is passed to the decision thread; the HTTP request waits for the answer up to a timeout.
  */
 class OperatorServer {
 public:
-    /** @param decisions Ring of the decision thread; outlives the server. */
+    /**
+     * @param decisions Ring of the decision thread; outlives the server.
+     * @param limit Timeout for the decision thread's answer to a query.
+     */
     OperatorServer(DecisionInbox& decisions, std::chrono::milliseconds limit);
     ~OperatorServer();
     OperatorServer(const OperatorServer&) = delete;
     OperatorServer& operator=(const OperatorServer&) = delete;
 
-    /** @return Whether the address could be taken; else see lastReason(). */
+    /** @return Whether the address could be bound; if not, lastReason() has the reason. */
     [[nodiscard]] bool start(const Endpoint& endpoint);
     [[nodiscard]] const std::string& lastReason() const noexcept;
     void stop();
 
-    /** Hands an answer to whoever waits for it. For the decision thread; never waits. */
+    /** Delivers an answer to the waiting HTTP request. Called by the decision thread; does not wait for I/O. */
     void answer(node::OperatorReply&& reply);
 
 private:
--- a/include/swiftlift/transport/PeerLinks.h
+++ b/include/swiftlift/transport/PeerLinks.h
@@ -16,52 +16,65 @@
 
 namespace swiftlift::transport {
 
+/** Addresses, timeouts and limits of the links between routers. */
 struct PeerLinksSettings {
-    /** Where peers reach this router. */
+    /** Address on which this router listens for peers. */
     PeerAddress self;
-    /** Peers that are reached by way of another address, so that a test's link stands in between. */
+    /** Substitute addresses to connect to, by peer; with them a test routes the traffic through a link simulator. */
     std::map<PeerAddress, Endpoint> via;
-    /** Messages that wait for one peer that can't be reached; further ones are dropped. */
+    /** Maximum number of messages queued for an unreachable peer; further messages are dropped. */
     int queued = 64;
-    /** A link to a peer that nothing has been sent to for that long is closed. */
+    /** A link to a peer is closed if nothing has been sent to the peer for this long. */
     std::chrono::milliseconds idleLimit { 60'000 };
-    /** TCP alone would find out about a cut, and about its end, only after minutes. */
+    /** Heartbeat interval. TCP alone would detect a network partition, and its end, only after minutes. */
     std::chrono::milliseconds heartbeat { 2'000 };
+    /** Timeout for the answer to a heartbeat. */
     std::chrono::milliseconds heartbeatLimit { 4'000 };
+    /** Timeout for connecting to a peer. */
     std::chrono::milliseconds connectLimit { 1'000 };
+    /** Backoff before the first attempt to reconnect. */
     std::chrono::milliseconds reconnect { 100 };
+    /** Maximum backoff before an attempt to reconnect. */
     std::chrono::milliseconds reconnectMost { 1'000 };
 };
 
 using PeerInbox = ring::Inbox<node::SendPeer>;
 
 /**
- * @brief Messages between routers, over ZeroMQ: one ROUTER that is bound, one DEALER to each destination.
+ * @brief Messages between routers, over ZeroMQ: one bound ROUTER socket, and one DEALER socket for each peer.
  *
- * Fire and forget. Sends never wait; what finds its queue full is dropped, as the network may drop it too.
+ * Delivery is best effort. Sending never blocks; a message is dropped if its queue is full, just as the network may
+ * lose it.
  */
 class PeerLinks {
 public:
-    /** What is given by reference outlives the links. */
+    /** Arguments that are passed by reference must outlive this object. */
     PeerLinks(PeerLinksSettings settings, DecisionInbox& decisions, ControlTraffic& traffic, logging::JsonLog& log);
     ~PeerLinks();
     PeerLinks(const PeerLinks&) = delete;
     PeerLinks& operator=(const PeerLinks&) = delete;
 
-    /** @return Whether the address could be taken; else see lastReason(). */
+    /** @return Whether the address could be bound; if not, lastReason() has the reason. */
     [[nodiscard]] bool listen();
     [[nodiscard]] const std::string& lastReason() const noexcept;
 
     void start();
     void stop();
 
-    /** Goes on each message sent from now on; messages for another incarnation are dropped. For any thread. */
+    /**
+     * @brief Sets the sender's incarnation of all later messages. Can be called from any thread.
+     *
+     * Received messages that are addressed to another incarnation are dropped.
+     */
     void setIncarnation(Incarnation incarnation) noexcept;
 
-    /** @return The ring of this thread. */
+    /** @return The ring from which the thread of the links takes messages to send. */
     [[nodiscard]] PeerInbox& inbox() noexcept;
 
-    /** @return Messages that could not be sent or were not for us. */
+    /**
+     * @return Number of messages dropped: the queue to the peer was full, the message could not be decoded or was not
+     * addressed to this incarnation, or the decision thread's ring had no room.
+     */
     [[nodiscard]] std::uint64_t dropped() const noexcept;
 
 private:
--- a/include/swiftlift/transport/PlatformClient.h
+++ b/include/swiftlift/transport/PlatformClient.h
@@ -13,29 +13,35 @@
 
 namespace swiftlift::transport {
 
+/** Addresses, intervals and timeouts of the platform thread. */
 struct PlatformSettings {
+    /** Address of the platform's VM list. */
     Endpoint vmList;
+    /** Interval between two reads of the VM list. */
     std::chrono::milliseconds vmListInterval { 1'000 };
+    /** Interval between two reads of a backend server's load report. */
     std::chrono::milliseconds loadInterval { 250 };
-    /** Loads read between two reads of the cache events. */
+    /** Number of load reports read for each read of the cache events. */
     std::uint32_t loadsPerCacheRead = 1;
+    /** Timeout of each HTTP call. */
     std::chrono::milliseconds limit { 1'000 };
-    /** Share of an interval by which each wait differs, so that routers don't all ask at the same moment. */
+    /** Maximum random deviation of a wait, as a fraction of its interval; it keeps routers from polling in step. */
     double jitter = 0.2;
 };
 
-/** What the decision thread asks of the platform thread. */
+/** Commands from the decision thread to the platform thread. */
 using PlatformCommand = std::variant<node::WatchBackends, node::SendOrder>;
 using PlatformInbox = ring::Inbox<PlatformCommand>;
 
 /**
- * @brief The platform thread: reads the VM list, reads what backend servers report of themselves, sends them orders.
+ * @brief The platform thread: reads the VM list and the backend servers' reports, and sends orders to backend servers.
  *
- * All of it is small, periodic and may be lost, so one thread and one loop serve all addresses.
+ * All these messages are small and periodic, and their loss is tolerated, so one thread and one event loop serve all
+ * addresses.
  */
 class PlatformClient {
 public:
-    /** What is given by reference outlives the client. */
+    /** Arguments that are passed by reference must outlive the client. */
     PlatformClient(PlatformSettings settings, DecisionInbox& decisions, ControlTraffic& traffic);
     ~PlatformClient();
     PlatformClient(const PlatformClient&) = delete;
@@ -44,7 +50,7 @@
     void start();
     void stop();
 
-    /** @return The ring of this thread. */
+    /** @return The ring from which the platform thread takes commands. */
     [[nodiscard]] PlatformInbox& inbox() noexcept;
 
 private:
--- a/src/transport/ActionExecutor.cpp
+++ b/src/transport/ActionExecutor.cpp
@@ -4,23 +4,24 @@
 
 namespace swiftlift::transport {
 
-ActionExecutor::ActionExecutor(Duties duties)
-    : duties_(duties)
-    , streamCommands_(duties.streams.inbox())
-    , platformCommands_(duties.platform.inbox())
+ActionExecutor::ActionExecutor(ActionTargets targets)
+    : targets_(targets)
+    , streamCommands_(targets.streams.inbox())
+    , platformCommands_(targets.platform.inbox())
 {
 }
 
 void ActionExecutor::execute(node::Action&& action)
 {
-    std::visit([this](auto&& one) { take(std::forward<decltype(one)>(one)); }, std::move(action));
+    std::visit(
+        [this](auto&& alternative) { carryOut(std::forward<decltype(alternative)>(alternative)); }, std::move(action));
 }
 
 void ActionExecutor::flush()
 {
     streamCommands_.flush();
     platformCommands_.flush();
-    while (!appends_.empty() && duties_.log.append(appends_.front())) {
+    while (!appends_.empty() && targets_.log.append(appends_.front())) {
         appends_.pop_front();
     }
 }
@@ -28,66 +29,66 @@
 void ActionExecutor::beginIncarnation(Incarnation incarnation)
 {
     appends_.clear();
-    duties_.journal.setIncarnation(incarnation.value());
-    duties_.peers.setIncarnation(incarnation);
-    duties_.log.beginIncarnation(incarnation);
+    targets_.journal.setIncarnation(incarnation.value());
+    targets_.peers.setIncarnation(incarnation);
+    targets_.log.beginIncarnation(incarnation);
     streamCommands_.push(BeginIncarnation { incarnation });
 }
 
-void ActionExecutor::take(node::Dispatch&& action) { streamCommands_.push(std::move(action)); }
+void ActionExecutor::carryOut(node::Dispatch&& action) { streamCommands_.push(std::move(action)); }
 
-void ActionExecutor::take(const node::CancelAttempt& action) { streamCommands_.push(action); }
+void ActionExecutor::carryOut(const node::CancelAttempt& action) { streamCommands_.push(action); }
 
-void ActionExecutor::take(node::Reply&& action) { streamCommands_.push(std::move(action)); }
+void ActionExecutor::carryOut(node::Reply&& action) { streamCommands_.push(std::move(action)); }
 
-void ActionExecutor::take(node::Append&& action)
+void ActionExecutor::carryOut(node::Append&& action)
 {
-    if (!appends_.empty() || !duties_.log.append(action)) {
+    if (!appends_.empty() || !targets_.log.append(action)) {
         appends_.push_back(std::move(action));
     }
 }
 
-void ActionExecutor::take(node::Follow&& action) { duties_.log.follow(action); }
+void ActionExecutor::carryOut(node::Follow&& action) { targets_.log.follow(action); }
 
-void ActionExecutor::take(const node::ExpediteRead& action) { duties_.log.readSoon(action.stream); }
+void ActionExecutor::carryOut(const node::ExpediteRead& action) { targets_.log.readSoon(action.stream); }
 
-void ActionExecutor::take(node::SendPeer&& action) { duties_.peers.inbox().pushOrDrop(std::move(action)); }
+void ActionExecutor::carryOut(node::SendPeer&& action) { targets_.peers.inbox().pushOrDrop(std::move(action)); }
 
-void ActionExecutor::take(node::WatchBackends&& action) { platformCommands_.push(std::move(action)); }
+void ActionExecutor::carryOut(node::WatchBackends&& action) { platformCommands_.push(std::move(action)); }
 
-void ActionExecutor::take(node::SendOrder&& action) { platformCommands_.push(std::move(action)); }
+void ActionExecutor::carryOut(node::SendOrder&& action) { platformCommands_.push(std::move(action)); }
 
-void ActionExecutor::take(node::LogLine&& action)
+void ActionExecutor::carryOut(node::LogLine&& action)
 {
     logging::Fields fields;
     fields.reserve(action.fields.size());
     for (auto& field : action.fields) {
         fields.emplace_back(std::move(field.name), std::move(field.value));
     }
-    duties_.journal.write(logging::Level::Info, action.kind, fields);
+    targets_.journal.write(logging::Level::Info, action.kind, fields);
 }
 
-void ActionExecutor::take(node::CountMetric&& action) { duties_.metrics.inbox().pushOrDrop(std::move(action)); }
+void ActionExecutor::carryOut(node::CountMetric&& action) { targets_.metrics.inbox().pushOrDrop(std::move(action)); }
 
-void ActionExecutor::take(node::GaugeMetric&& action) { duties_.metrics.inbox().pushOrDrop(std::move(action)); }
+void ActionExecutor::carryOut(node::GaugeMetric&& action) { targets_.metrics.inbox().pushOrDrop(std::move(action)); }
 
-void ActionExecutor::take(node::OperatorReply&& action)
+void ActionExecutor::carryOut(node::OperatorReply&& action)
 {
     if ((action.question & callersQuestion) != 0) {
         streamCommands_.push(std::move(action));
     } else {
-        duties_.operators.answer(std::move(action));
+        targets_.operators.answer(std::move(action));
     }
 }
 
-void ActionExecutor::take(node::StopReady&&) { stopReady_.store(true); }
+void ActionExecutor::carryOut(node::StopReady&&) { stopReady_.store(true); }
 
-void ActionExecutor::take(node::ProxyDispatch&& action) { streamCommands_.push(std::move(action)); }
-void ActionExecutor::take(const node::ProxyFailureReply& action) { streamCommands_.push(action); }
-void ActionExecutor::take(const node::AnnounceReadiness& action) { streamCommands_.push(action); }
-void ActionExecutor::take(const node::SetCallerLimits& action) { streamCommands_.push(action); }
+void ActionExecutor::carryOut(node::ProxyDispatch&& action) { streamCommands_.push(std::move(action)); }
+void ActionExecutor::carryOut(const node::ProxyFailureReply& action) { streamCommands_.push(action); }
+void ActionExecutor::carryOut(const node::AnnounceReadiness& action) { streamCommands_.push(action); }
+void ActionExecutor::carryOut(const node::SetCallerLimits& action) { streamCommands_.push(action); }
 
-// The decision loop acts on it itself.
-void ActionExecutor::take(node::Restart&&) { }
+// DecisionLoop handles Restart itself and does not pass it on.
+void ActionExecutor::carryOut(node::Restart&&) { }
 
 } // namespace swiftlift::transport
--- a/src/transport/AsyncHttpClient.cpp
+++ b/src/transport/AsyncHttpClient.cpp
@@ -22,7 +22,7 @@
 void AsyncHttpClient::call(http::request<http::string_body> request, std::chrono::milliseconds limit, Done done)
 {
     done_ = std::move(done);
-    outgoing_ = toBytes(request);
+    requestBytes_ = toBytes(request);
     stream_.expires_after(limit);
     if (connected_) {
         write();
@@ -39,8 +39,8 @@
         boost::asio::post(loop_, [self = shared_from_this()] { self->finish(std::nullopt); });
         return;
     }
-    stream_.async_connect(tcp::endpoint(address, endpoint_.port), [self = shared_from_this()](ErrorCode failed) {
-        if (failed) {
+    stream_.async_connect(tcp::endpoint(address, endpoint_.port), [self = shared_from_this()](ErrorCode connectError) {
+        if (connectError) {
             self->finish(std::nullopt);
             return;
         }
@@ -53,13 +53,13 @@
 
 void AsyncHttpClient::write()
 {
-    if (allowed_ && !allowed_()) {
+    if (sendCondition_ && !sendCondition_()) {
         finish(std::nullopt);
         return;
     }
-    traffic_.sent += outgoing_.size();
+    traffic_.sent += requestBytes_.size();
     boost::asio::async_write(
-        stream_, boost::asio::buffer(outgoing_), [self = shared_from_this()](ErrorCode error, std::size_t) {
+        stream_, boost::asio::buffer(requestBytes_), [self = shared_from_this()](ErrorCode error, std::size_t) {
             if (error) {
                 self->finish(std::nullopt);
             } else {
@@ -74,11 +74,11 @@
     parser_.emplace();
     http::async_read(stream_, buffer_, *parser_, [self = shared_from_this()](ErrorCode error, std::size_t count) {
         self->traffic_.received += count;
-        self->answered(error);
+        self->handleResponse(error);
     });
 }
 
-void AsyncHttpClient::answered(ErrorCode error)
+void AsyncHttpClient::handleResponse(ErrorCode error)
 {
     if (error) {
         finish(std::nullopt);
--- a/src/transport/AsyncHttpClient.h
+++ b/src/transport/AsyncHttpClient.h
@@ -16,22 +16,30 @@
 
 namespace swiftlift::transport::internal {
 
-/** HTTP calls to one address, one at a time, over a connection that is kept. Lives in one loop. */
+/** Asynchronous HTTP client for one address: one call at a time, over a reused connection, in one event loop. */
 class AsyncHttpClient : public std::enable_shared_from_this<AsyncHttpClient> {
 public:
-    /** Called with the answer, or with nothing when none came. */
+    /** Completion handler; receives the response, or `nullopt` if the call failed. */
     using Done = std::function<void(std::optional<HttpResponse>)>;
 
     AsyncHttpClient(boost::asio::io_context& loop, Endpoint endpoint, TrafficCounter& traffic);
 
-    /** Must not be called before the former call is done. */
+    /**
+     * @brief Starts a call. The previous call must have completed.
+     * @param request The request to send.
+     * @param limit Timeout for connecting, writing and reading together.
+     * @param done Called once the call has completed.
+     */
     void call(boost::beast::http::request<boost::beast::http::string_body> request, std::chrono::milliseconds limit,
         Done done);
 
-    /** Calls end without an answer, and without having been written, once `allowed` says no. */
-    void sendOnlyWhile(std::function<bool()> allowed) { allowed_ = std::move(allowed); }
+    /**
+     * @brief Sets a condition that is evaluated immediately before each request is written.
+     * @param allowed While it returns false, calls fail without sending anything.
+     */
+    void setSendCondition(std::function<bool()> condition) { sendCondition_ = std::move(condition); }
 
-    /** A call under way ends without an answer. */
+    /** Closes the connection. A call in progress completes without a response. */
     void close();
 
 private:
@@ -41,7 +49,7 @@
     void connect();
     void write();
     void read();
-    void answered(ErrorCode error);
+    void handleResponse(ErrorCode error);
     void finish(std::optional<HttpResponse> answer);
 
     boost::asio::io_context& loop_;
@@ -49,11 +57,11 @@
     TrafficCounter& traffic_;
     boost::beast::tcp_stream stream_;
     bool connected_ = false;
-    std::string outgoing_;
+    std::string requestBytes_;
     boost::beast::flat_buffer buffer_;
     std::optional<Parser> parser_;
     Done done_;
-    std::function<bool()> allowed_;
+    std::function<bool()> sendCondition_;
 };
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/BackendPoller.cpp
+++ b/src/transport/BackendPoller.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-http::request<http::string_body> getRequest(const std::string& host, const std::string& target)
+http::request<http::string_body> makeGetRequest(const std::string& host, const std::string& target)
 {
     http::request<http::string_body> request { http::verb::get, target, httpVersion };
     request.set(http::field::host, host);
@@ -42,7 +42,7 @@
 void BackendPoller::start()
 {
     if (client_) {
-        askLoad();
+        requestLoad();
     }
 }
 
@@ -55,23 +55,23 @@
     }
 }
 
-void BackendPoller::waitFor(std::chrono::milliseconds time)
+void BackendPoller::pollAfter(std::chrono::milliseconds time)
 {
     timer_.expires_after(time);
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
         if (!error && !self->stopped_) {
-            self->askLoad();
+            self->requestLoad();
         }
     });
 }
 
-void BackendPoller::askLoad()
+void BackendPoller::requestLoad()
 {
-    client_->call(getRequest(backend_.value(), "/load"), context_.settings.limit,
-        [self = shared_from_this()](const std::optional<HttpResponse>& answer) { self->loadCame(answer); });
+    client_->call(makeGetRequest(backend_.value(), "/load"), context_.settings.limit,
+        [self = shared_from_this()](const std::optional<HttpResponse>& answer) { self->handleLoad(answer); });
 }
 
-void BackendPoller::loadCame(const std::optional<HttpResponse>& answer)
+void BackendPoller::handleLoad(const std::optional<HttpResponse>& answer)
 {
     if (stopped_) {
         return;
@@ -85,38 +85,38 @@
     context_.decisions.pushOrDrop({ Incarnation {}, std::move(load) });
     ++loadsSinceCacheRead_;
     if (reachable && hasCache_ && loadsSinceCacheRead_ >= context_.settings.loadsPerCacheRead) {
-        askCacheEvents();
+        requestCacheEvents();
     } else {
-        roundDone();
+        scheduleNextPoll();
     }
 }
 
-void BackendPoller::askCacheEvents()
+void BackendPoller::requestCacheEvents()
 {
     loadsSinceCacheRead_ = 0;
-    client_->call(getRequest(backend_.value(), "/cache-events?from=" + std::to_string(nextEvent_)),
+    client_->call(makeGetRequest(backend_.value(), "/cache-events?from=" + std::to_string(nextCacheEvent_)),
         context_.settings.limit,
-        [self = shared_from_this()](const std::optional<HttpResponse>& answer) { self->cacheEventsCame(answer); });
+        [self = shared_from_this()](const std::optional<HttpResponse>& answer) { self->handleCacheEvents(answer); });
 }
 
-void BackendPoller::cacheEventsCame(const std::optional<HttpResponse>& answer)
+void BackendPoller::handleCacheEvents(const std::optional<HttpResponse>& answer)
 {
     if (stopped_) {
         return;
     }
     if (answer && answer->status == statusOk) {
         if (auto page = parseCacheEvents(answer->body)) {
-            // A smaller number than before: the engine has started anew, and so has its count.
-            nextEvent_ = page->next;
+            // May be smaller than before: an engine that restarts numbers its events from the start again.
+            nextCacheEvent_ = page->next;
             if (!page->events.empty()) {
                 context_.decisions.pushOrDrop(
                     { Incarnation {}, node::CacheEventsRead { backend_, std::move(page->events) } });
             }
         }
     }
-    roundDone();
+    scheduleNextPoll();
 }
 
-void BackendPoller::roundDone() { waitFor(context_.jittered(context_.settings.loadInterval)); }
+void BackendPoller::scheduleNextPoll() { pollAfter(context_.jittered(context_.settings.loadInterval)); }
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/DecisionLoop.cpp
+++ b/src/transport/DecisionLoop.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    /** Events handled before the clock is looked at again, so that ticks come also under load. */
-    constexpr int eventsPerRound = 256;
+    /** Maximum number of events handled between two checks of the clock, so that ticks are on time under load. */
+    constexpr int maxEventsPerRound = 256;
 
 } // namespace
 
@@ -59,48 +59,48 @@
 
 void DecisionLoop::run()
 {
-    begin(incarnation_);
+    startIncarnation(incarnation_);
     while (!stopping_.load()) {
         const Duration untilTick = std::max(lastTick_ + tickInterval_ - steadyInstant(), Duration::zero());
         const auto limit = std::chrono::ceil<std::chrono::milliseconds>(untilTick);
         if (inbox_.wakeup().waitFor(limit)) {
             inbox_.wakeup().consume();
         }
-        handleWaiting();
+        handlePendingEvents();
         tickWhenDue();
         sink_.flush();
     }
 }
 
-void DecisionLoop::begin(Incarnation incarnation)
+void DecisionLoop::startIncarnation(Incarnation incarnation)
 {
     incarnation_ = incarnation;
     sink_.beginIncarnation(incarnation);
     decider_ = factory_(incarnation);
     lastTick_ = steadyInstant();
     decider_->start(lastTick_, actions_);
-    carryOutAll();
+    executeActions();
 }
 
-void DecisionLoop::handleWaiting()
+void DecisionLoop::handlePendingEvents()
 {
-    for (int count = 0; count < eventsPerRound; ++count) {
+    for (int count = 0; count < maxEventsPerRound; ++count) {
         const auto tagged = inbox_.tryPop();
         if (!tagged) {
             return;
         }
-        if (isForUs(*tagged)) {
+        if (isForCurrentIncarnation(*tagged)) {
             handle(tagged->event);
         }
     }
-    // The ring may hold more than this round took, and nobody will signal for it again.
+    // The ring may hold further events, which were signalled before this round and would not be signalled again.
     inbox_.wakeup().signal();
 }
 
 void DecisionLoop::handle(const node::Event& event)
 {
     decider_->handle(event, steadyInstant(), actions_);
-    carryOutAll();
+    executeActions();
 }
 
 void DecisionLoop::tickWhenDue()
@@ -111,24 +111,24 @@
     }
 }
 
-void DecisionLoop::carryOutAll()
+void DecisionLoop::executeActions()
 {
-    bool retired = false;
+    bool restartRequested = false;
     for (auto& action : actions_) {
         if (std::holds_alternative<node::Restart>(action)) {
-            retired = true;
+            restartRequested = true;
         } else {
             sink_.execute(std::move(action));
         }
     }
     actions_.clear();
-    if (retired) {
+    if (restartRequested) {
         replacements_.fetch_add(1);
-        begin(drawIncarnation());
+        startIncarnation(drawIncarnation());
     }
 }
 
-bool DecisionLoop::isForUs(const TaggedEvent& tagged) const noexcept
+bool DecisionLoop::isForCurrentIncarnation(const TaggedEvent& tagged) const noexcept
 {
     return tagged.incarnation == Incarnation {} || tagged.incarnation == incarnation_;
 }
--- a/src/transport/Endpoint.cpp
+++ b/src/transport/Endpoint.cpp
@@ -18,9 +18,9 @@
     if (!port) {
         return std::nullopt;
     }
-    boost::system::error_code failed;
-    boost::asio::ip::make_address_v4(std::string(ip), failed);
-    if (failed) {
+    boost::system::error_code error;
+    boost::asio::ip::make_address_v4(std::string(ip), error);
+    if (error) {
         return std::nullopt;
     }
     return Endpoint { std::string(ip), *port };
--- a/src/transport/HttpClient.cpp
+++ b/src/transport/HttpClient.cpp
@@ -27,20 +27,20 @@
 } // namespace
 
 struct HttpClient::State {
-    explicit State(Endpoint given)
-        : endpoint(std::move(given))
+    explicit State(Endpoint serverEndpoint)
+        : endpoint(std::move(serverEndpoint))
     {
     }
 
     using Clock = std::chrono::steady_clock;
-    using Step = std::function<void(std::function<void(ErrorCode)>)>;
+    using AsyncOperation = std::function<void(std::function<void(ErrorCode)>)>;
 
-    /** Runs one operation until it ends or the time is over. */
-    [[nodiscard]] bool run(const char* what, Clock::time_point until, const Step& step);
+    /** Runs an asynchronous operation until it ends, the deadline passes or the client is cancelled. */
+    [[nodiscard]] bool run(const char* operationName, Clock::time_point until, const AsyncOperation& operation);
     [[nodiscard]] bool connect(Clock::time_point until);
     [[nodiscard]] bool write(const HttpRequest& request, Clock::time_point until);
     [[nodiscard]] std::optional<HttpResponse> read(Clock::time_point until);
-    [[nodiscard]] bool kept();
+    [[nodiscard]] bool connectionIsReusable();
     void close();
 
     Endpoint endpoint;
@@ -52,19 +52,23 @@
     std::uint64_t received = 0;
 };
 
-bool HttpClient::State::run(const char* what, Clock::time_point until, const Step& step)
+bool HttpClient::State::run(const char* operationName, Clock::time_point until, const AsyncOperation& operation)
 {
     ErrorCode result = boost::asio::error::would_block;
-    step([&result](ErrorCode error) { result = error; });
+    operation([&result](ErrorCode error) { result = error; });
     loop.restart();
     while (result == boost::asio::error::would_block && !cancelled.load() && loop.run_one_until(until) > 0) { }
     if (!result) {
         return true;
     }
-    const bool late = result == boost::asio::error::would_block;
-    lastReason = std::string(what) + ": " + (cancelled.load() ? "cancelled" : late ? "timeout" : result.message());
+    const bool timedOut = result == boost::asio::error::would_block;
+    lastReason = std::string(operationName) + ": "
+        + (cancelled.load() ? "cancelled"
+                : timedOut  ? "timeout"
+                            : result.message());
     close();
-    // The operation ends now that its socket is closed; let it, before what it refers to is gone.
+    // Closing the socket ends the operation. Run its handler before the objects that the handler refers to are
+    // destroyed.
     loop.restart();
     loop.poll();
     return false;
@@ -72,7 +76,7 @@
 
 bool HttpClient::State::connect(Clock::time_point until)
 {
-    if (kept()) {
+    if (connectionIsReusable()) {
         return true;
     }
     close();
@@ -91,8 +95,8 @@
     return connected;
 }
 
-/** @return Whether the connection of the last call still stands: nothing has come on it, and it isn't closed. */
-bool HttpClient::State::kept()
+/** @return Whether the last call's connection can be reused: it is open, and no unexpected bytes have arrived. */
+bool HttpClient::State::connectionIsReusable()
 {
     if (!socket) {
         return false;
@@ -127,13 +131,13 @@
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(maxAnswerBytes);
-    const bool got = run("read", until, [&](auto done) {
+    const bool complete = run("read", until, [&](auto done) {
         http::async_read(*socket, buffer, parser, [this, done = std::move(done)](ErrorCode error, std::size_t count) {
             received += count;
             done(error);
         });
     });
-    if (!got) {
+    if (!complete) {
         return std::nullopt;
     }
     auto message = parser.release();
@@ -146,8 +150,8 @@
 void HttpClient::State::close()
 {
     if (socket) {
-        ErrorCode ignored;
-        socket->close(ignored);
+        ErrorCode ignoredError;
+        socket->close(ignoredError);
         loop.restart();
         loop.poll();
         socket.reset();
@@ -175,7 +179,7 @@
 void HttpClient::cancel()
 {
     state_->cancelled.store(true);
-    // An empty task, so that the loop looks at the flag.
+    // An empty task wakes the event loop, so that run() checks the flag.
     boost::asio::post(state_->loop, [] {});
 }
 
--- a/src/transport/LineMatcher.cpp
+++ b/src/transport/LineMatcher.cpp
@@ -28,11 +28,11 @@
 
 } // namespace
 
-LineMatcher::LineMatcher(std::string key, std::string attempt, std::int64_t next, std::int64_t most)
+LineMatcher::LineMatcher(std::string key, std::string attempt, std::int64_t next, std::int64_t maxTokens)
     : key_(std::move(key))
     , attempt_(std::move(attempt))
     , next_(next)
-    , most_(most)
+    , maxTokens_(maxTokens)
 {
 }
 
@@ -40,13 +40,13 @@
 {
     const Json json = Json::parse(line, nullptr, false);
     if (json.is_discarded() || !json.is_object()) {
-        return ForeignLine { "not a JSON object" };
+        return ForeignLine { "line is not a JSON object" };
     }
     if (textField(json, "key") != key_) {
-        return ForeignLine { "key of another request" };
+        return ForeignLine { "line has the key of another request" };
     }
     if (textField(json, "attempt") != attempt_) {
-        return ForeignLine { "another attempt" };
+        return ForeignLine { "line of another attempt" };
     }
     if (const auto done = json.find("done"); done != json.end() && done->is_boolean() && done->get<bool>()) {
         return matchDone({ Tokens(numberField(json, "prompt_tokens").value_or(0)),
@@ -56,7 +56,7 @@
     const auto index = numberField(json, "index");
     const auto token = json.find("token");
     if (!index || token == json.end() || !token->is_string()) {
-        return BrokenLine { "a line without index or token" };
+        return BrokenLine { "line without a valid index or token" };
     }
     return matchIndex(*index, token->get<std::string>());
 }
@@ -70,8 +70,8 @@
     if (index < next_) {
         return RepeatedLine {};
     }
-    if (most_ > 0 && next_ >= most_) {
-        return BrokenLine { "more tokens than were asked for" };
+    if (maxTokens_ > 0 && next_ >= maxTokens_) {
+        return BrokenLine { "more tokens than the requested maximum" };
     }
     ++next_;
     return TokenLine { std::move(token) };
@@ -79,12 +79,12 @@
 
 MatchedLine LineMatcher::matchDone(DoneLine done) const
 {
-    // The engine counts the whole answer, skipped tokens included. When fewer have come, the last lines went astray:
-    // no later index shows that, so only this count does.
-    const std::int64_t counted = done.answerTokens.value();
-    if (counted != next_) {
-        return BrokenLine { "the engine counted " + std::to_string(counted) + " tokens, " + std::to_string(next_)
-            + " came" };
+    // The engine counts all tokens of the answer, including those skipped because the caller already has them. If fewer
+    // have been received, the last lines were lost. No later index reveals that, so only this count can.
+    const std::int64_t reported = done.answerTokens.value();
+    if (reported != next_) {
+        return BrokenLine { "engine reports " + std::to_string(reported) + " tokens, but " + std::to_string(next_)
+            + " were received" };
     }
     return done;
 }
--- a/src/transport/LogClient.cpp
+++ b/src/transport/LogClient.cpp
@@ -23,23 +23,23 @@
 } // namespace
 
 struct LogClient::State {
-    State(LogClientSettings given, std::shared_ptr<const LogDialect> spoken, DecisionInbox& inbox,
+    State(LogClientSettings clientSettings, std::shared_ptr<const LogDialect> logDialect, DecisionInbox& decisionInbox,
         ControlTraffic& counters)
-        : settings(std::move(given))
-        , dialect(std::move(spoken))
-        , decisions(inbox)
+        : settings(std::move(clientSettings))
+        , dialect(std::move(logDialect))
+        , decisions(decisionInbox)
         , traffic(counters)
         , appends(appendRingCapacity)
-        , appendLog(settings, counters.log)
+        , appendEndpoints(settings, counters.log)
         , appender([this] { runAppends(); })
     {
     }
 
     void runAppends();
-    void appendOnce(const TaggedAppend& order);
-    void push(Incarnation to, node::Event&& event);
+    void sendAppend(const TaggedAppend& taggedAppend);
+    void pushToDecisions(Incarnation incarnationTag, node::Event&& event);
     void cancelFollower(const StreamName& stream);
-    void dropEnded();
+    void destroyEndedFollowers();
 
     const LogClientSettings settings;
     const std::shared_ptr<const LogDialect> dialect;
@@ -47,10 +47,10 @@
     ControlTraffic& traffic;
     std::atomic<std::uint64_t> incarnation = 0;
     std::map<StreamName, std::unique_ptr<internal::LogFollower>> followers;
-    /** Told to end; destroyed once they have, so that nobody waits for them. */
-    std::vector<std::unique_ptr<internal::LogFollower>> ending;
+    /** Cancelled followers, destroyed after their threads have ended, so that the decision thread never waits. */
+    std::vector<std::unique_ptr<internal::LogFollower>> cancelledFollowers;
     ring::Inbox<TaggedAppend> appends;
-    internal::LogEndpoints appendLog;
+    internal::LogEndpoints appendEndpoints;
     std::atomic<bool> stopping = false;
     std::thread appender;
 };
@@ -60,28 +60,29 @@
     while (!stopping.load()) {
         static_cast<void>(appends.wakeup().waitFor(idleWait));
         appends.wakeup().consume();
-        while (const auto order = appends.tryPop()) {
-            appendOnce(*order);
+        while (const auto taggedAppend = appends.tryPop()) {
+            sendAppend(*taggedAppend);
         }
     }
 }
 
-void LogClient::State::appendOnce(const TaggedAppend& order)
+void LogClient::State::sendAppend(const TaggedAppend& taggedAppend)
 {
-    const auto answer = appendLog.call(dialect->append(order.append), settings.appendLimit);
+    const auto answer = appendEndpoints.call(dialect->append(taggedAppend.append), settings.appendLimit);
     const auto problem
-        = answer ? dialect->appendProblem(*answer) : std::optional(LogProblem { appendLog.lastReason() });
+        = answer ? dialect->appendProblem(*answer) : std::optional(LogProblem { appendEndpoints.lastReason() });
     if (problem) {
-        push(order.incarnation, node::LogUnreachable { order.append.stream, "append: " + problem->detail });
+        pushToDecisions(taggedAppend.incarnation,
+            node::LogUnreachable { taggedAppend.append.stream, "append: " + problem->detail });
     } else {
-        push(order.incarnation, node::AppendAnswered { order.append.stream });
+        pushToDecisions(taggedAppend.incarnation, node::AppendAnswered { taggedAppend.append.stream });
     }
 }
 
-void LogClient::State::push(Incarnation to, node::Event&& event)
+void LogClient::State::pushToDecisions(Incarnation incarnationTag, node::Event&& event)
 {
-    // The core makes no further append to a stream before it has heard of the last one, so this may not be lost.
-    TaggedEvent tagged { to, std::move(event) };
+    // This event must not be lost: the core appends to a stream only after it has the result of the previous append.
+    TaggedEvent tagged { incarnationTag, std::move(event) };
     while (!decisions.tryPush(tagged) && !stopping.load()) {
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -94,13 +95,13 @@
         return;
     }
     found->second->cancel();
-    ending.push_back(std::move(found->second));
+    cancelledFollowers.push_back(std::move(found->second));
     followers.erase(found);
 }
 
-void LogClient::State::dropEnded()
+void LogClient::State::destroyEndedFollowers()
 {
-    std::erase_if(ending, [](const auto& follower) { return follower->ended(); });
+    std::erase_if(cancelledFollowers, [](const auto& follower) { return follower->ended(); });
 }
 
 LogClient::LogClient(LogClientSettings settings, std::shared_ptr<const LogDialect> dialect, DecisionInbox& decisions,
@@ -117,13 +118,13 @@
     while (!state_->followers.empty()) {
         state_->cancelFollower(state_->followers.begin()->first);
     }
-    state_->dropEnded();
+    state_->destroyEndedFollowers();
 }
 
 void LogClient::follow(const node::Follow& follow)
 {
     state_->cancelFollower(follow.stream);
-    state_->dropEnded();
+    state_->destroyEndedFollowers();
     state_->followers[follow.stream] = std::make_unique<internal::LogFollower>(state_->settings, *state_->dialect,
         state_->decisions, state_->traffic.log, Incarnation(state_->incarnation.load()), follow);
 }
@@ -131,18 +132,18 @@
 void LogClient::readSoon(const StreamName& stream)
 {
     if (const auto found = state_->followers.find(stream); found != state_->followers.end()) {
-        found->second->hasten();
+        found->second->expediteNextRead();
     }
 }
 
 bool LogClient::append(node::Append& append)
 {
-    TaggedAppend order { Incarnation(state_->incarnation.load()), std::move(append) };
-    const bool taken = state_->appends.tryPush(order);
-    if (!taken) {
-        append = std::move(order.append);
+    TaggedAppend taggedAppend { Incarnation(state_->incarnation.load()), std::move(append) };
+    const bool queued = state_->appends.tryPush(taggedAppend);
+    if (!queued) {
+        append = std::move(taggedAppend.append);
     }
-    return taken;
+    return queued;
 }
 
 void LogClient::stop()
@@ -150,13 +151,13 @@
     if (state_->stopping.exchange(true)) {
         return;
     }
-    state_->appendLog.cancel();
+    state_->appendEndpoints.cancel();
     state_->appends.wakeup().signal();
     for (const auto& [stream, follower] : state_->followers) {
         follower->cancel();
     }
     state_->followers.clear();
-    state_->ending.clear();
+    state_->cancelledFollowers.clear();
     state_->appender.join();
 }
 
--- a/src/transport/LogEndpoints.cpp
+++ b/src/transport/LogEndpoints.cpp
@@ -16,14 +16,14 @@
 std::optional<HttpResponse> LogEndpoints::call(const HttpRequest& request, std::chrono::milliseconds limit)
 {
     if (!client_) {
-        lastReason_ = "no address of the log is set";
+        lastReason_ = "no log address is configured";
         return std::nullopt;
     }
     auto answer = client_->call(request, limit);
     countTraffic();
     if (!answer) {
         lastReason_ = toText(client_->endpoint()) + ": " + client_->lastReason();
-        useNext();
+        switchToNextEndpoint();
     }
     return answer;
 }
@@ -34,14 +34,14 @@
     traffic_.received += client_->bytesReceived() - std::exchange(countedReceived_, client_->bytesReceived());
 }
 
-void LogEndpoints::useNext()
+void LogEndpoints::switchToNextEndpoint()
 {
     if (settings_.endpoints.size() < 2) {
         return;
     }
     const std::lock_guard lock(clientMutex_);
-    place_ = (place_ + 1) % settings_.endpoints.size();
-    client_.emplace(settings_.endpoints[place_]);
+    currentIndex_ = (currentIndex_ + 1) % settings_.endpoints.size();
+    client_.emplace(settings_.endpoints[currentIndex_]);
     countedSent_ = 0;
     countedReceived_ = 0;
     if (cancelled_) {
--- a/src/transport/LogEndpoints.h
+++ b/src/transport/LogEndpoints.h
@@ -11,26 +11,26 @@
 
 namespace swiftlift::transport::internal {
 
-/** One thread's connection to the log: goes to the next address when one fails. */
+/** One thread's connection to the log; switches to the next configured address after a failed call. */
 class LogEndpoints {
 public:
     LogEndpoints(const LogClientSettings& settings, TrafficCounter& traffic);
 
-    /** @return The answer, of any status; nothing when none came: see lastReason(). */
+    /** @return The response, whatever its status; `nullopt` if there was none, with the reason in lastReason(). */
     [[nodiscard]] std::optional<HttpResponse> call(const HttpRequest& request, std::chrono::milliseconds limit);
 
-    /** For other threads: a call under way, and each later one, fails at once. */
+    /** Makes the current call() and each later call() fail at once. Can be called from any thread. */
     void cancel();
 
     [[nodiscard]] const std::string& lastReason() const noexcept { return lastReason_; }
 
 private:
-    void useNext();
+    void switchToNextEndpoint();
     void countTraffic();
 
     const LogClientSettings& settings_;
     TrafficCounter& traffic_;
-    std::size_t place_ = 0;
+    std::size_t currentIndex_ = 0;
     std::mutex clientMutex_;
     std::optional<HttpClient> client_;
     bool cancelled_ = false;
--- a/src/transport/LogFollower.h
+++ b/src/transport/LogFollower.h
@@ -12,58 +12,58 @@
 
 namespace swiftlift::transport::internal {
 
-/** Reads one stream of the log by long polls, in a thread of its own, from an offset on. */
+/** Reads one stream of the log from an offset on, by long polls in a thread of its own. */
 class LogFollower {
 public:
-    /** What is given by reference outlives the follower. */
+    /** Arguments that are passed by reference must outlive the follower. */
     LogFollower(const LogClientSettings& settings, const LogDialect& dialect, DecisionInbox& decisions,
         TrafficCounter& traffic, Incarnation incarnation, node::Follow follow);
-    /** Waits for the thread; call cancel() before, to have that done soon. */
+    /** Cancels the follower and waits until its thread has ended. An earlier cancel() shortens the wait. */
     ~LogFollower();
     LogFollower(const LogFollower&) = delete;
     LogFollower& operator=(const LogFollower&) = delete;
 
-    /** Makes the thread end soon. */
+    /** Interrupts the current read or pause, so that the thread ends soon. Does not wait. */
     void cancel();
 
-    /** Ends the pause before the next read; during a read, the pause after it. */
-    void hasten();
+    /** Ends the pause before the next read; during a read, skips the pause after that read. */
+    void expediteNextRead();
 
     /** @return Whether the thread has ended. */
     [[nodiscard]] bool ended() const noexcept { return ended_.load(); }
 
 private:
     void run();
-    /** @return Whether the log answered the read. */
-    [[nodiscard]] bool readOnce();
-    /** @return Whether the log answered. */
+    /** @return Whether the read succeeded. */
+    [[nodiscard]] bool readRecords();
+    /** @return Whether all keys were read. */
     [[nodiscard]] bool readAllKeys();
-    void take(LogRead&& read);
-    void takeGone(const LogGone& gone);
-    void askForFewer();
-    void tellUnreachable(std::string detail);
-    void push(node::Event&& event);
+    void handleRecords(LogRead&& read);
+    void handleExpiry(const LogGone& expired);
+    void reduceRecordsPerRead();
+    void reportUnreachable(std::string detail);
+    void pushToDecisions(node::Event&& event);
     void pause(std::chrono::milliseconds limit);
-    /** As pause(), unless somebody waits for what the next read brings. */
-    void pauseUnlessHastened(std::chrono::milliseconds limit);
+    /** Like pause(), but ends early if the next read has been expedited. */
+    void pauseUnlessExpedited(std::chrono::milliseconds limit);
 
     const LogClientSettings& settings_;
     const LogDialect& dialect_;
     DecisionInbox& decisions_;
     Incarnation incarnation_;
     node::Follow follow_;
-    std::uint64_t next_;
-    /** Of a keyed stream: all keys have to be read before what changes them. */
-    bool allKeysDue_;
-    /** Asked for at once; fewer after reads that failed. */
+    std::uint64_t nextOffset_;
+    /** Whether all keys of a keyed stream must be read before the records that change them. */
+    bool allKeysPending_;
+    /** Maximum number of records that the next read requests; reduced after reads without an answer. */
     std::uint32_t recordsPerRead_;
-    /** The log goes on beyond what the last read brought, so the next one need not wait. */
-    bool moreWaits_ = false;
+    /** Whether the log has records after those of the last read, so that the next read starts without a pause. */
+    bool moreAvailable_ = false;
     LogEndpoints log_;
     std::atomic<bool> cancelled_ = false;
     std::mutex pauseMutex_;
-    std::condition_variable pauseEnds_;
-    bool hastened_ = false;
+    std::condition_variable pauseEnded_;
+    bool nextReadExpedited_ = false;
     std::atomic<bool> ended_ = false;
     std::thread thread_;
 };
--- a/src/transport/Metrics.cpp
+++ b/src/transport/Metrics.cpp
@@ -20,8 +20,8 @@
     constexpr std::size_t updateRingCapacity = 8192;
     constexpr std::size_t maxSeries = 4096;
     constexpr std::chrono::milliseconds idleWait { 500 };
-    /** Updates gathered before the thread looks at them; a scrape comes every few seconds. */
-    constexpr std::chrono::milliseconds gatherTime { 200 };
+    /** How long updates are collected before they are applied as a batch; scrapes are seconds apart. */
+    constexpr std::chrono::milliseconds batchInterval { 200 };
     constexpr std::size_t listenerThreads = 1;
     constexpr double secondsPerMicrosecond = 1e-6;
 
@@ -63,9 +63,9 @@
     }
 
     void run();
-    void take(const node::CountMetric& update);
-    void take(const node::GaugeMetric& update);
-    [[nodiscard]] bool mayAdd();
+    void apply(const node::CountMetric& update);
+    void apply(const node::GaugeMetric& update);
+    [[nodiscard]] bool canAddSeries();
 
     MetricInbox updates;
     std::shared_ptr<prometheus::Registry> registry;
@@ -84,23 +84,23 @@
 {
     while (!stopping.load()) {
         if (updates.wakeup().waitFor(idleWait) && !stopping.load()) {
-            std::this_thread::sleep_for(gatherTime);
+            std::this_thread::sleep_for(batchInterval);
         }
         updates.wakeup().consume();
         while (const auto update = updates.tryPop()) {
-            std::visit([this](const auto& one) { take(one); }, *update);
+            std::visit([this](const auto& alternative) { apply(alternative); }, *update);
         }
     }
 }
 
-bool Metrics::State::mayAdd() { return counters.size() + gauges.size() < maxSeries; }
+bool Metrics::State::canAddSeries() { return counters.size() + gauges.size() < maxSeries; }
 
-void Metrics::State::take(const node::CountMetric& update)
+void Metrics::State::apply(const node::CountMetric& update)
 {
     const auto key = std::make_pair(update.name, toLabels(update.labels));
     auto found = counters.find(key);
     if (found == counters.end()) {
-        if (!mayAdd()) {
+        if (!canAddSeries()) {
             return;
         }
         auto& family = prometheus::BuildCounter().Name(familyName(update.name)).Help(update.name).Register(*registry);
@@ -109,12 +109,12 @@
     found->second->Increment(update.add);
 }
 
-void Metrics::State::take(const node::GaugeMetric& update)
+void Metrics::State::apply(const node::GaugeMetric& update)
 {
     const auto key = std::make_pair(update.name, toLabels(update.labels));
     auto found = gauges.find(key);
     if (found == gauges.end()) {
-        if (!mayAdd()) {
+        if (!canAddSeries()) {
             return;
         }
         auto& family = prometheus::BuildGauge().Name(familyName(update.name)).Help(update.name).Register(*registry);
--- a/src/transport/NativeLogDialect.cpp
+++ b/src/transport/NativeLogDialect.cpp
@@ -48,7 +48,7 @@
         const auto json = nlohmann::json::parse(answer.body, nullptr, false);
         const auto oldest = json.is_object() ? json.find("oldest") : json.end();
         if (oldest == json.end() || !oldest->is_number_unsigned()) {
-            return LogProblem { "a 410 without the oldest offset" };
+            return LogProblem { "status 410 without the oldest offset" };
         }
         return LogGone { Offset(oldest->get<std::uint64_t>()) };
     }
@@ -57,11 +57,11 @@
     }
     proto::log::ReadReply reply;
     if (!reply.ParseFromString(answer.body)) {
-        return LogProblem { "an answer that can't be decoded" };
+        return LogProblem { "can't decode the answer to a read" };
     }
-    // Records from elsewhere would be folded at the wrong offsets: a hole, or the same record twice.
+    // Records from another offset would be folded at wrong offsets, so that records are missing or folded twice.
     if (reply.records_size() > 0 && reply.first_offset() != from.value()) {
-        return LogProblem { "records from another offset than asked for" };
+        return LogProblem { "records start at another offset than requested" };
     }
     return LogRead { { reply.records().begin(), reply.records().end() }, Offset(reply.end_offset()) };
 }
@@ -75,7 +75,7 @@
 
 std::variant<NewestRead, LogProblem> NativeLogDialect::newestAnswer(const HttpResponse& /*answer*/) const
 {
-    return LogProblem { "this log keeps no keys" };
+    return LogProblem { "this log does not support keyed streams" };
 }
 
 std::optional<node::KeyedRecord> NativeLogDialect::keyedRecord(Offset /*offset*/, const std::string& /*record*/) const
--- a/src/transport/OperatorServer.cpp
+++ b/src/transport/OperatorServer.cpp
@@ -19,21 +19,21 @@
 namespace {
 
     constexpr std::array<std::string_view, 6> topics { "status", "budgets", "vms", "backends", "services", "explain" };
-    constexpr unsigned leastThreads = 1;
-    constexpr unsigned mostThreads = 4;
+    constexpr unsigned minServerThreads = 1;
+    constexpr unsigned maxServerThreads = 4;
 
-    /** @return The value of a query's parameter; empty when it has none. */
+    /** @return The value of a parameter of a URL query string; empty if the parameter is absent. */
     std::string parameter(const std::string& query, std::string_view name)
     {
-        std::size_t place = 0;
-        while (place < query.size()) {
-            const auto end = std::min(query.find('&', place), query.size());
-            const std::string pair = query.substr(place, end - place);
+        std::size_t position = 0;
+        while (position < query.size()) {
+            const auto end = std::min(query.find('&', position), query.size());
+            const std::string pair = query.substr(position, end - position);
             const auto equals = pair.find('=');
             if (equals != std::string::npos && std::string_view(pair).substr(0, equals) == name) {
                 return pair.substr(equals + 1);
             }
-            place = end + 1;
+            position = end + 1;
         }
         return {};
     }
@@ -97,7 +97,7 @@
 
     internal::QuestionBoard board;
     TopicService service;
-    // The order matters: the server uses both, and has to go first.
+    // Declared after the loop and the service because the server uses both and must be destroyed first.
     cxxtools::EventLoop loop;
     std::unique_ptr<cxxtools::http::Server> server;
     std::string lastReason;
@@ -119,8 +119,8 @@
         state_->lastReason = toText(endpoint) + ": " + error.what();
         return false;
     }
-    state_->server->minThreads(leastThreads);
-    state_->server->maxThreads(mostThreads);
+    state_->server->minThreads(minServerThreads);
+    state_->server->maxThreads(maxServerThreads);
     for (const auto topic : topics) {
         state_->server->addService("/" + std::string(topic), state_->service);
     }
--- a/src/transport/PeerLinks.cpp
+++ b/src/transport/PeerLinks.cpp
@@ -17,21 +17,22 @@
     using Clock = std::chrono::steady_clock;
 
     constexpr std::size_t sendRingCapacity = 4096;
-    constexpr int receiveQueue = 4096;
+    constexpr int maxReceiveQueueMessages = 4096;
     constexpr std::int64_t maxMessageBytes = 8 * 1024 * 1024;
     constexpr std::chrono::milliseconds idleWait { 500 };
-    /** Received before what is to be sent gets its turn. */
-    constexpr int messagesPerRound = 256;
+    /** Maximum number of messages received before queued messages are sent. */
+    constexpr int maxMessagesPerRound = 256;
 
-    int count(std::chrono::milliseconds time) { return static_cast<int>(time.count()); }
+    int toIntMilliseconds(std::chrono::milliseconds time) { return static_cast<int>(time.count()); }
 
 } // namespace
 
 struct PeerLinks::State {
-    State(PeerLinksSettings given, DecisionInbox& inbox, ControlTraffic& counters, logging::JsonLog& jsonLog)
-        : settings(std::move(given))
+    State(PeerLinksSettings linksSettings, DecisionInbox& inbox, ControlTraffic& controlTraffic,
+        logging::JsonLog& jsonLog)
+        : settings(std::move(linksSettings))
         , decisions(inbox)
-        , traffic(counters.peers)
+        , traffic(controlTraffic.peers)
         , log(jsonLog)
         , sends(sendRingCapacity)
         , context(1)
@@ -46,12 +47,12 @@
 
     void configure(zmq::socket_t& socket) const;
     void run();
-    void receiveWaiting();
-    void take(const zmq::message_t& message);
-    void sendWaiting();
-    void send(const node::SendPeer& order);
+    void receivePending();
+    void handleMessage(const zmq::message_t& message);
+    void sendPending();
+    void send(const node::SendPeer& outgoing);
     [[nodiscard]] Link& linkTo(const PeerAddress& peer);
-    [[nodiscard]] std::string dialled(const PeerAddress& peer) const;
+    [[nodiscard]] std::string connectAddress(const PeerAddress& peer) const;
     void closeIdleLinks();
 
     const PeerLinksSettings settings;
@@ -73,8 +74,8 @@
 {
     socket.set(zmq::sockopt::linger, 0);
     socket.set(zmq::sockopt::maxmsgsize, maxMessageBytes);
-    socket.set(zmq::sockopt::heartbeat_ivl, count(settings.heartbeat));
-    socket.set(zmq::sockopt::heartbeat_timeout, count(settings.heartbeatLimit));
+    socket.set(zmq::sockopt::heartbeat_ivl, toIntMilliseconds(settings.heartbeat));
+    socket.set(zmq::sockopt::heartbeat_timeout, toIntMilliseconds(settings.heartbeatLimit));
 }
 
 void PeerLinks::State::run()
@@ -85,10 +86,10 @@
             { nullptr, sends.wakeup().descriptor(), ZMQ_POLLIN, 0 } } };
         try {
             zmq::poll(items, idleWait);
-            receiveWaiting();
-            sendWaiting();
+            receivePending();
+            sendPending();
         } catch (const zmq::error_t& error) {
-            // EINTR, or a peer's address that can't be dialled: neither may end the thread.
+            // An interrupted system call (EINTR) or an invalid peer address must not end the thread.
             log.write(logging::Level::Warning, "peer_link", { { "error", std::string(error.what()) } });
         }
         if (Clock::now() >= nextSweep) {
@@ -96,14 +97,14 @@
             closeIdleLinks();
         }
     }
-    sendWaiting();
+    sendPending();
     links.clear();
     router.close();
 }
 
-void PeerLinks::State::receiveWaiting()
+void PeerLinks::State::receivePending()
 {
-    for (int round = 0; round < messagesPerRound; ++round) {
+    for (int round = 0; round < maxMessagesPerRound; ++round) {
         zmq::message_t identity;
         if (!router.recv(identity, zmq::recv_flags::dontwait)) {
             return;
@@ -114,20 +115,20 @@
             static_cast<void>(router.recv(body, zmq::recv_flags::dontwait));
             more = router.get(zmq::sockopt::rcvmore) != 0;
         }
-        take(body);
+        handleMessage(body);
     }
 }
 
-void PeerLinks::State::take(const zmq::message_t& message)
+void PeerLinks::State::handleMessage(const zmq::message_t& message)
 {
     traffic.received += message.size();
     auto envelope = wire::decodePeerEnvelope(message.to_string_view());
     const Incarnation self(incarnation.load());
-    // A message meant for the incarnation that had this address before us would be taken for one to us: an
-    // acknowledgement of ceilings that we never asked for, for one.
-    const bool ours
+    // Without this check, a message to the previous incarnation at this address would be accepted, for example an
+    // acknowledgement of ceilings that this incarnation never requested.
+    const bool addressedToSelf
         = envelope && (envelope->receiver == Incarnation {} || envelope->receiver == self) && envelope->sender != self;
-    if (!ours) {
+    if (!addressedToSelf) {
         ++dropped;
         return;
     }
@@ -139,19 +140,19 @@
     }
 }
 
-void PeerLinks::State::sendWaiting()
+void PeerLinks::State::sendPending()
 {
     sends.wakeup().consume();
-    while (const auto order = sends.tryPop()) {
-        send(*order);
+    while (const auto outgoing = sends.tryPop()) {
+        send(*outgoing);
     }
 }
 
-void PeerLinks::State::send(const node::SendPeer& order)
+void PeerLinks::State::send(const node::SendPeer& outgoing)
 {
     const std::string bytes = wire::encodePeerEnvelope(
-        { Incarnation(incarnation.load()), settings.self, order.receiver, order.message, order.shard });
-    auto& link = linkTo(order.to);
+        { Incarnation(incarnation.load()), settings.self, outgoing.receiver, outgoing.message, outgoing.shard });
+    auto& link = linkTo(outgoing.to);
     link.lastUse = Clock::now();
     if (link.dealer.send(zmq::buffer(bytes), zmq::send_flags::dontwait)) {
         traffic.sent += bytes.size();
@@ -168,14 +169,14 @@
     zmq::socket_t dealer(context, zmq::socket_type::dealer);
     configure(dealer);
     dealer.set(zmq::sockopt::sndhwm, settings.queued);
-    dealer.set(zmq::sockopt::connect_timeout, count(settings.connectLimit));
-    dealer.set(zmq::sockopt::reconnect_ivl, count(settings.reconnect));
-    dealer.set(zmq::sockopt::reconnect_ivl_max, count(settings.reconnectMost));
-    dealer.connect("tcp://" + dialled(peer));
+    dealer.set(zmq::sockopt::connect_timeout, toIntMilliseconds(settings.connectLimit));
+    dealer.set(zmq::sockopt::reconnect_ivl, toIntMilliseconds(settings.reconnect));
+    dealer.set(zmq::sockopt::reconnect_ivl_max, toIntMilliseconds(settings.reconnectMost));
+    dealer.connect("tcp://" + connectAddress(peer));
     return links.emplace(peer, Link { std::move(dealer), Clock::now() }).first->second;
 }
 
-std::string PeerLinks::State::dialled(const PeerAddress& peer) const
+std::string PeerLinks::State::connectAddress(const PeerAddress& peer) const
 {
     const auto found = settings.via.find(peer);
     return found == settings.via.end() ? peer.value() : toText(found->second);
@@ -199,7 +200,7 @@
 {
     try {
         state_->configure(state_->router);
-        state_->router.set(zmq::sockopt::rcvhwm, receiveQueue);
+        state_->router.set(zmq::sockopt::rcvhwm, maxReceiveQueueMessages);
         state_->router.bind("tcp://" + state_->settings.self.value());
         return true;
     } catch (const zmq::error_t& error) {
--- a/src/transport/PlatformClient.cpp
+++ b/src/transport/PlatformClient.cpp
@@ -27,8 +27,8 @@
 } // namespace
 
 struct PlatformClient::State {
-    State(PlatformSettings given, DecisionInbox& decisions, ControlTraffic& traffic)
-        : settings(std::move(given))
+    State(PlatformSettings platformSettings, DecisionInbox& decisions, ControlTraffic& traffic)
+        : settings(std::move(platformSettings))
         , inbox(commandRingCapacity)
         , context { loop, settings, decisions, traffic, std::minstd_rand(std::random_device {}()) }
         , commands(loop, ::dup(inbox.wakeup().descriptor()))
@@ -37,12 +37,12 @@
     {
     }
 
-    void awaitCommands();
-    void takeCommands();
+    void waitForCommands();
+    void executeCommands();
     void execute(const node::WatchBackends& watch);
     void execute(const node::SendOrder& order);
-    void askVmList();
-    void vmListCame(const std::optional<HttpResponse>& answer);
+    void requestVmList();
+    void handleVmList(const std::optional<HttpResponse>& answer);
 
     const PlatformSettings settings;
     PlatformInbox inbox;
@@ -55,17 +55,17 @@
     std::thread thread;
 };
 
-void PlatformClient::State::awaitCommands()
+void PlatformClient::State::waitForCommands()
 {
     commands.async_wait(boost::asio::posix::stream_descriptor::wait_read, [this](ErrorCode error) {
         if (!error) {
-            takeCommands();
-            awaitCommands();
+            executeCommands();
+            waitForCommands();
         }
     });
 }
 
-void PlatformClient::State::takeCommands()
+void PlatformClient::State::executeCommands()
 {
     inbox.wakeup().consume();
     while (const auto command = inbox.tryPop()) {
@@ -75,27 +75,27 @@
 
 void PlatformClient::State::execute(const node::WatchBackends& watch)
 {
-    std::map<std::pair<BackendId, bool>, std::shared_ptr<internal::BackendPoller>> wanted;
-    const auto want = [&](const BackendId& backend, bool hasCache) {
+    std::map<std::pair<BackendId, bool>, std::shared_ptr<internal::BackendPoller>> watched;
+    const auto watchBackend = [&](const BackendId& backend, bool hasCache) {
         const auto found = pollers.find({ backend, hasCache });
         if (found != pollers.end()) {
-            wanted.insert(*found);
+            watched.insert(*found);
             pollers.erase(found);
             return;
         }
-        const auto [added, isNew] = wanted.try_emplace({ backend, hasCache });
+        const auto [added, isNew] = watched.try_emplace({ backend, hasCache });
         if (isNew) {
             added->second = std::make_shared<internal::BackendPoller>(context, backend, hasCache);
             added->second->start();
         }
     };
     for (const auto& backend : watch.models) {
-        want(backend, true);
+        watchBackend(backend, true);
     }
     for (const auto& backend : watch.plain) {
-        want(backend, false);
+        watchBackend(backend, false);
     }
-    for (const auto& [key, poller] : std::exchange(pollers, std::move(wanted))) {
+    for (const auto& [key, poller] : std::exchange(pollers, std::move(watched))) {
         poller->stop();
     }
 }
@@ -119,20 +119,20 @@
     request.set("X-Fencing", std::to_string(order.fencing));
     const auto client = std::make_shared<internal::AsyncHttpClient>(loop, *endpoint, context.traffic.backends);
     if (order.notAfter) {
-        // What goes wrong: the VM is paused after the core has looked at its lease, and the order goes out when another
-        // router has it. So the clock is read once more, next to the write.
-        client->sendOnlyWhile([until = *order.notAfter] { return steadyInstant() < until; });
+        // The VM may be paused after the core has checked its lease; the order would then be sent when another router
+        // holds the lease. Therefore the clock is read again immediately before the write.
+        client->setSendCondition([until = *order.notAfter] { return steadyInstant() < until; });
     }
     client->call(std::move(request), settings.limit, answer);
 }
 
-void PlatformClient::State::askVmList()
+void PlatformClient::State::requestVmList()
 {
-    vmClient->call(internal::getRequest(toText(settings.vmList), "/vms"), settings.limit,
-        [this](const std::optional<HttpResponse>& answer) { vmListCame(answer); });
+    vmClient->call(internal::makeGetRequest(toText(settings.vmList), "/vms"), settings.limit,
+        [this](const std::optional<HttpResponse>& answer) { handleVmList(answer); });
 }
 
-void PlatformClient::State::vmListCame(const std::optional<HttpResponse>& answer)
+void PlatformClient::State::handleVmList(const std::optional<HttpResponse>& answer)
 {
     if (answer && answer->status == statusOk) {
         if (auto list = internal::parseVmList(answer->body)) {
@@ -142,7 +142,7 @@
     vmTimer.expires_after(context.jittered(settings.vmListInterval));
     vmTimer.async_wait([this](ErrorCode error) {
         if (!error) {
-            askVmList();
+            requestVmList();
         }
     });
 }
@@ -156,8 +156,8 @@
 
 void PlatformClient::start()
 {
-    state_->awaitCommands();
-    state_->askVmList();
+    state_->waitForCommands();
+    state_->requestVmList();
     state_->thread = std::thread([state = state_.get()] { state->loop.run(); });
 }
 
--- a/src/transport/PlatformReports.cpp
+++ b/src/transport/PlatformReports.cpp
@@ -13,26 +13,26 @@
     constexpr int statusAccepted = 202;
     constexpr int hexadecimal = 16;
 
-    std::string textOf(const Json& json, const char* name)
+    std::string textField(const Json& json, const char* name)
     {
         const auto field = json.find(name);
         return field != json.end() && field->is_string() ? field->get<std::string>() : std::string();
     }
 
-    template <typename Number> Number numberOf(const Json& json, const char* name)
+    template <typename Number> Number numberField(const Json& json, const char* name)
     {
         const auto field = json.find(name);
         return field != json.end() && field->is_number() ? field->get<Number>() : Number {};
     }
 
-    bool flagOf(const Json& json, const char* name)
+    bool flagField(const Json& json, const char* name)
     {
         const auto field = json.find(name);
         return field != json.end() && field->is_boolean() && field->get<bool>();
     }
 
-    /** @return The array of that name; nothing when there is none. */
-    const Json* arrayOf(const Json& json, const char* name)
+    /** @return The array field `name` of a JSON object; null if there is none. */
+    const Json* arrayField(const Json& json, const char* name)
     {
         if (!json.is_object()) {
             return nullptr;
@@ -41,15 +41,15 @@
         return field != json.end() && field->is_array() ? &*field : nullptr;
     }
 
-    std::optional<node::CacheEvent> cacheEventOf(const Json& json)
+    std::optional<node::CacheEvent> parseCacheEvent(const Json& json)
     {
         if (!json.is_object()) {
             return std::nullopt;
         }
-        const std::string kind = textOf(json, "kind");
-        const std::string prefix = textOf(json, "prefix");
+        const std::string kind = textField(json, "kind");
+        const std::string prefix = textField(json, "prefix");
         node::CacheEvent event;
-        event.sequence = numberOf<std::uint64_t>(json, "seq");
+        event.sequence = numberField<std::uint64_t>(json, "seq");
         const char* end = prefix.data() + prefix.size();
         const auto parsed = std::from_chars(prefix.data(), end, event.prefixHash, hexadecimal);
         if (prefix.empty() || parsed.ptr != end || (kind != "stored" && kind != "evicted")) {
@@ -64,17 +64,17 @@
 std::optional<node::VmListRead> parseVmList(const std::string& text)
 {
     const Json json = Json::parse(text, nullptr, false);
-    const Json* vms = arrayOf(json, "vms");
+    const Json* vms = arrayField(json, "vms");
     if (vms == nullptr) {
         return std::nullopt;
     }
     node::VmListRead list;
     for (const auto& vm : *vms) {
-        if (!vm.is_object() || textOf(vm, "peer").empty()) {
+        if (!vm.is_object() || textField(vm, "peer").empty()) {
             continue;
         }
-        list.vms.push_back({ PeerAddress(textOf(vm, "peer")), FailureDomain(textOf(vm, "domain")),
-            Region(textOf(vm, "region")), textOf(vm, "state") == "leaving" });
+        list.vms.push_back({ PeerAddress(textField(vm, "peer")), FailureDomain(textField(vm, "domain")),
+            Region(textField(vm, "region")), textField(vm, "state") == "leaving" });
     }
     return list;
 }
@@ -88,12 +88,12 @@
         return load;
     }
     load.reachable = true;
-    load.running = numberOf<std::uint32_t>(json, "running");
-    load.waiting = numberOf<std::uint32_t>(json, "waiting");
-    load.stepMilliseconds = numberOf<double>(json, "step_ms");
-    load.leaving = flagOf(json, "leaving");
-    load.generation = numberOf<std::uint64_t>(json, "generation");
-    if (const Json* models = arrayOf(json, "models")) {
+    load.running = numberField<std::uint32_t>(json, "running");
+    load.waiting = numberField<std::uint32_t>(json, "waiting");
+    load.stepMilliseconds = numberField<double>(json, "step_ms");
+    load.leaving = flagField(json, "leaving");
+    load.generation = numberField<std::uint64_t>(json, "generation");
+    if (const Json* models = arrayField(json, "models")) {
         for (const auto& model : *models) {
             if (model.is_string()) {
                 load.models.push_back(model.get<std::string>());
@@ -106,14 +106,14 @@
 std::optional<CacheEventsPage> parseCacheEvents(const std::string& text)
 {
     const Json json = Json::parse(text, nullptr, false);
-    const Json* events = arrayOf(json, "events");
+    const Json* events = arrayField(json, "events");
     if (events == nullptr) {
         return std::nullopt;
     }
     CacheEventsPage page;
-    page.next = numberOf<std::uint64_t>(json, "next");
+    page.next = numberField<std::uint64_t>(json, "next");
     for (const auto& entry : *events) {
-        if (const auto event = cacheEventOf(entry)) {
+        if (const auto event = parseCacheEvent(entry)) {
             page.events.push_back(*event);
         }
     }
@@ -126,7 +126,7 @@
     answered.backend = backend;
     answered.accepted = status == statusAccepted;
     if (const Json json = Json::parse(text, nullptr, false); json.is_object()) {
-        answered.fencing = numberOf<std::uint64_t>(json, "fencing");
+        answered.fencing = numberField<std::uint64_t>(json, "fencing");
     }
     return answered;
 }
--- a/src/transport/ProcessReadings.cpp
+++ b/src/transport/ProcessReadings.cpp
@@ -50,14 +50,14 @@
 
         void addTraffic(prometheus::MetricFamily& family, const char* kind, const TrafficCounter& traffic)
         {
-            const auto addOne = [&](const char* direction, std::uint64_t bytes) {
+            const auto addDirection = [&](const char* direction, std::uint64_t bytes) {
                 prometheus::ClientMetric metric;
                 metric.label = { { "kind", kind }, { "direction", direction } };
                 metric.counter.value = static_cast<double>(bytes);
                 family.metric.push_back(metric);
             };
-            addOne("sent", traffic.sent.load());
-            addOne("received", traffic.received.load());
+            addDirection("sent", traffic.sent.load());
+            addDirection("received", traffic.received.load());
         }
 
     } // namespace
--- a/src/transport/ProcessReadings.h
+++ b/src/transport/ProcessReadings.h
@@ -12,13 +12,14 @@
 
 namespace swiftlift::transport::internal {
 
-/** Figures that are read at the moment of a scrape: the process's CPU and memory, control traffic, ring fill. */
+/** Metrics whose values are read at each scrape: the process's CPU and memory use, control traffic, ring fill. */
 class ProcessReadings : public prometheus::Collectable {
 public:
     explicit ProcessReadings(const ControlTraffic& traffic);
 
     [[nodiscard]] std::vector<prometheus::MetricFamily> Collect() const override;
 
+    /** Adds a gauge whose value `read` returns at each scrape; `name` lacks the prefix `swiftlift_`. */
     void add(std::string name, std::string help, std::function<double()> read);
 
 private:
--- a/src/transport/QuestionBoard.cpp
+++ b/src/transport/QuestionBoard.cpp
@@ -13,14 +13,14 @@
 std::optional<std::string> QuestionBoard::ask(std::string topic, std::string argument)
 {
     std::unique_lock lock(mutex_);
-    const std::uint64_t number = ++last_;
-    questions_.emplace(number, std::nullopt);
-    TaggedEvent event { Incarnation {}, node::OperatorAsked { number, std::move(topic), std::move(argument) } };
+    const std::uint64_t questionNumber = ++lastQuestion_;
+    questions_.emplace(questionNumber, std::nullopt);
+    TaggedEvent event { Incarnation {}, node::OperatorAsked { questionNumber, std::move(topic), std::move(argument) } };
     if (decisions_.tryPush(std::move(event), reservedEvents)) {
-        answered_.wait_for(lock, limit_, [&] { return closed_ || questions_[number].has_value(); });
+        answered_.wait_for(lock, limit_, [&] { return closed_ || questions_[questionNumber].has_value(); });
     }
-    auto answer = std::move(questions_[number]);
-    questions_.erase(number);
+    auto answer = std::move(questions_[questionNumber]);
+    questions_.erase(questionNumber);
     return answer;
 }
 
--- a/src/transport/QuestionBoard.h
+++ b/src/transport/QuestionBoard.h
@@ -13,18 +13,22 @@
 
 namespace swiftlift::transport::internal {
 
-/** Questions to the decision thread whose askers wait for the answer. */
+/** Operators' queries to the decision thread; each querying thread blocks until its answer arrives. */
 class QuestionBoard {
 public:
+    /**
+     * @param decisions Ring of the decision thread; outlives this object.
+     * @param limit Timeout for an answer.
+     */
     QuestionBoard(DecisionInbox& decisions, std::chrono::milliseconds limit);
 
-    /** @return The answer; nothing when none came in time. Waits. */
+    /** @return The answer as JSON; `nullopt` after a timeout or close(). Blocks. */
     [[nodiscard]] std::optional<std::string> ask(std::string topic, std::string argument);
 
-    /** Only moves the text, under a lock that nobody holds for longer than that. */
+    /** Delivers an answer to the thread that waits for it. The lock is only ever held briefly, never during I/O. */
     void answer(node::OperatorReply&& reply);
 
-    /** All askers go on without an answer. */
+    /** Wakes all waiting threads; ask() returns without an answer. */
     void close();
 
 private:
@@ -32,7 +36,7 @@
     std::chrono::milliseconds limit_;
     std::mutex mutex_;
     std::condition_variable answered_;
-    std::uint64_t last_ = 0;
+    std::uint64_t lastQuestion_ = 0;
     bool closed_ = false;
     std::unordered_map<std::uint64_t, std::optional<std::string>> questions_;
 };
--- a/src/transport/ReadPacer.cpp
+++ b/src/transport/ReadPacer.cpp
@@ -16,22 +16,22 @@
         reader->readNow();
         return;
     }
-    waiting_.push_back(reader);
-    if (waiting_.size() > 1) {
+    pendingReaders_.push_back(reader);
+    if (pendingReaders_.size() > 1) {
         return;
     }
     timer_.expires_after(interval_);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error) {
-            round();
+            readAll();
         }
     });
 }
 
-void ReadPacer::round()
+void ReadPacer::readAll()
 {
-    for (const auto& waiting : std::exchange(waiting_, {})) {
-        if (const auto reader = waiting.lock()) {
+    for (const auto& pendingReader : std::exchange(pendingReaders_, {})) {
+        if (const auto reader = pendingReader.lock()) {
             reader->readNow();
         }
     }
--- a/src/transport/ReadPacer.h
+++ b/src/transport/ReadPacer.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::transport::internal {
 
-/** What reads a socket when it is told to. */
+/** Interface of a stream whose reads are scheduled by a ReadPacer. */
 class PacedReader {
 public:
     PacedReader() = default;
@@ -17,32 +17,39 @@
     PacedReader(const PacedReader&) = delete;
     PacedReader& operator=(const PacedReader&) = delete;
 
+    /** Reads the data that the stream's socket has received. */
     virtual void readNow() = 0;
 };
 
 /**
- * @brief Lets many streams be read together, a few times a second, instead of each at each of its events.
+ * @brief Batches the reads of many streams: reads all streams with pending data together, once per interval.
  *
- * What goes wrong without it: a VM with a tenth of a core passes 40 streams on, an event of each comes every 20 ms, and
- * each costs a wake-up, two reads and a write. It falls behind, and then everything on it is late. Read together, two
- * events of a stream share one read and one write, and all streams share the wake-up: 1 system call an event in place
- * of 4 (strace -c), and of 42 events 20 ms apart a request costs 1.1 ms of processor time in place of 1.4, most of it
- * the kernel's (swiftlift-platform-cost). Events wait for half of the interval in the mean.
+ * A VM with a tenth of a core that forwards 40 streams, each with an event every 20 ms, would need a wake-up, two reads
+ * and a write for each event; it falls behind, and all its work is delayed. With batching, two events of a stream share
+ * one read and one write, and all streams share the wake-up. This takes 1 system call per event instead of 4, and
+ * 1.1 ms of CPU time per request of 42 events 20 ms apart instead of 1.4 ms, most of it in the kernel. An event is
+ * delayed by half of the interval on average.
  */
 class ReadPacer {
 public:
-    /** @param interval Between two rounds; zero: nobody waits. */
+    /**
+     * @param loop Event loop that runs the reads; outlives the pacer.
+     * @param interval Time from the first scheduled read of a batch to the batch's reads; zero reads at once.
+     */
     ReadPacer(boost::asio::io_context& loop, std::chrono::milliseconds interval);
 
-    /** @param reader Is told to read in the next round, if it still lives. */
+    /**
+     * @brief Schedules a read for the next batch; reads at once if the interval is zero.
+     * @param reader Skipped if it has been destroyed by then.
+     */
     void later(const std::shared_ptr<PacedReader>& reader);
 
 private:
-    void round();
+    void readAll();
 
     std::chrono::milliseconds interval_;
     boost::asio::steady_timer timer_;
-    std::vector<std::weak_ptr<PacedReader>> waiting_;
+    std::vector<std::weak_ptr<PacedReader>> pendingReaders_;
 };
 
 } // namespace swiftlift::transport::internal
--- a/tests/transport/AroundTest.cpp
+++ b/tests/transport/AroundTest.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-    /** Answers a request by its path. */
-    void serve(Connection& connection, const std::string& load)
+    /** Reads a request and writes the response for its path; `load` is the response to `/load`. */
+    void serveRequest(Connection& connection, const std::string& load)
     {
         const auto target = std::string(connection.readRequest().target());
         if (target == "/vms") {
@@ -25,7 +25,7 @@
         }
     }
 
-    std::string get(std::uint16_t port, const std::string& target)
+    std::string httpGet(std::uint16_t port, const std::string& target)
     {
         HttpClient client({ "127.0.0.1", port });
         HttpRequest request;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST(PlatformClient, ReadsTheVmListAndWhatEnginesReport)
+TEST(PlatformClient, ReadsTheVmListAndEngineReports)
 {
     DecisionInbox inbox(4096);
     ControlTraffic traffic;
@@ -49,24 +49,24 @@
     settings.limit = longWait;
     PlatformClient client(settings, inbox, traffic);
     client.start();
-    auto vms = list.accept();
-    serve(vms, {});
+    auto vmListConnection = list.accept();
+    serveRequest(vmListConnection, {});
     EXPECT_EQ(nextEvent<node::VmListRead>(inbox).vms.size(), 1U);
 
     ASSERT_TRUE(client.inbox().tryPush(node::WatchBackends { { BackendId(engine.address()) }, {} }));
-    auto polled = engine.accept();
-    serve(polled, jsonAnswer(200, R"({"running":2})"));
+    auto engineConnection = engine.accept();
+    serveRequest(engineConnection, jsonAnswer(200, R"({"running":2})"));
     EXPECT_EQ(nextEvent<node::BackendLoad>(inbox).running, 2U);
-    serve(polled, {});
+    serveRequest(engineConnection, {});
     EXPECT_EQ(nextEvent<node::CacheEventsRead>(inbox).events.front().sequence, 3U);
-    serve(polled, jsonAnswer(500, {}));
+    serveRequest(engineConnection, jsonAnswer(500, {}));
     EXPECT_FALSE(nextEvent<node::BackendLoad>(inbox).reachable);
     ASSERT_TRUE(client.inbox().tryPush(node::WatchBackends {}));
-    EXPECT_TRUE(polled.closes());
+    EXPECT_TRUE(engineConnection.closes());
     EXPECT_GT(traffic.backends.sent, 0U);
 }
 
-TEST(PlatformClient, OrdersAreSentAndTheirAnswersTold)
+TEST(PlatformClient, OrdersAreSentAndTheirAnswersReported)
 {
     DecisionInbox inbox(4096);
     ControlTraffic traffic;
@@ -90,9 +90,9 @@
     EXPECT_EQ(answered.fencing, 20U);
 }
 
-// Symptom: an engine gets orders from two routers at a time. The first one was paused between its decision and the
-// send, and its lease ran out meanwhile.
-TEST(PlatformClient, OrderOfALeaseThatHasRunOutIsNotSent)
+// Guards against an engine that receives orders from two routers at a time. A router is paused between its decision and
+// the send, its lease expires during the pause, and another router holds the lease when the order is sent.
+TEST(PlatformClient, OrderIsNotSentAfterItsLeaseHasExpired)
 {
     DecisionInbox inbox(4096);
     ControlTraffic traffic;
@@ -113,22 +113,22 @@
     EXPECT_FALSE(nextEvent<node::OrderAnswered>(inbox).accepted);
 }
 
-TEST(OperatorServer, PutsQuestionsToTheCoreAndDoesNotWaitForEver)
+TEST(OperatorServer, PassesQueriesToTheCoreAndTimesOutWithoutAnAnswer)
 {
     DecisionInbox inbox(4096);
     OperatorServer server(inbox, std::chrono::milliseconds(200));
     const std::uint16_t port = Listener().port();
     ASSERT_TRUE(server.start({ "127.0.0.1", port })) << server.lastReason();
-    EXPECT_EQ(get(port, "/budgets").substr(0, 3), "503");
+    EXPECT_EQ(httpGet(port, "/budgets").substr(0, 3), "503");
     std::jthread core([&] {
         for (auto asked = nextEvent<node::OperatorAsked>(inbox); asked.topic != "explain";
              asked = nextEvent<node::OperatorAsked>(inbox)) { }
         server.answer({ 2, R"({"why":"because"})" });
     });
-    EXPECT_EQ(get(port, "/explain?request=r1"), R"(200 {"why":"because"})");
+    EXPECT_EQ(httpGet(port, "/explain?request=r1"), R"(200 {"why":"because"})");
 }
 
-TEST(Metrics, CountsGaugesAndReadingsAreExposed)
+TEST(Metrics, CountersGaugesAndReadingsAreExposed)
 {
     ControlTraffic traffic;
     traffic.log.sent = 123;
@@ -143,7 +143,7 @@
     std::string text;
     const auto until = std::chrono::steady_clock::now() + longWait;
     while (text.find("swiftlift_free_tokens 9") == std::string::npos && std::chrono::steady_clock::now() < until) {
-        text = get(metrics.port(), "/metrics");
+        text = httpGet(metrics.port(), "/metrics");
     }
     for (const char* expected : { R"(swiftlift_requests_total{outcome="answered"} 3)", "swiftlift_things 42",
              R"(swiftlift_control_bytes_total{kind="log",direction="sent"} 123)",
--- a/tests/transport/DecisionLoopTest.cpp
+++ b/tests/transport/DecisionLoopTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    /** Echoes operators' questions; asks to be replaced when the topic says so. */
+    /** Answers each operator query with its incarnation; requests its replacement on the topic "retire". */
     class EchoDecider : public Decider {
     public:
         explicit EchoDecider(Incarnation self)
@@ -17,12 +17,12 @@
         {
         }
 
-        void start(Instant now, node::Actions&) override { last_ = now; }
+        void start(Instant now, node::Actions&) override { lastTime_ = now; }
 
         void handle(const node::Event& event, Instant now, node::Actions& actions) override
         {
-            EXPECT_GE(now, last_);
-            last_ = now;
+            EXPECT_GE(now, lastTime_);
+            lastTime_ = now;
             if (std::holds_alternative<node::Tick>(event)) {
                 actions.push_back(node::CountMetric { "ticks", {}, 1 });
             } else if (const auto* asked = std::get_if<node::OperatorAsked>(&event)) {
@@ -35,7 +35,7 @@
 
     private:
         Incarnation self_;
-        Instant last_ {};
+        Instant lastTime_ {};
     };
 
     class RecordingSink : public ActionSink {
@@ -46,7 +46,7 @@
             if (const auto* reply = std::get_if<node::OperatorReply>(&action)) {
                 replies_[reply->question] = reply->json;
             } else {
-                ++others_;
+                ++otherActions_;
             }
         }
 
@@ -85,24 +85,24 @@
             return incarnations_;
         }
 
-        int others()
+        int otherActions()
         {
             const std::lock_guard lock(mutex_);
-            return others_;
+            return otherActions_;
         }
 
     private:
         std::mutex mutex_;
         std::map<std::uint64_t, std::string> replies_;
         std::vector<Incarnation> incarnations_;
-        int others_ = 0;
+        int otherActions_ = 0;
     };
 
     class DecisionLoopTest : public testing::Test {
     protected:
         DecisionLoopTest() { loop.start(); }
 
-        void ask(std::uint64_t question, const std::string& topic, Incarnation tag = {})
+        void sendQuery(std::uint64_t question, const std::string& topic, Incarnation tag = {})
         {
             ASSERT_TRUE(inbox.tryPush({ tag, node::OperatorAsked { question, topic, {} } }));
         }
@@ -117,23 +117,24 @@
 
 TEST_F(DecisionLoopTest, HandlesEventsAndTicks)
 {
-    ask(1, "status");
+    sendQuery(1, "status");
     EXPECT_EQ(sink.waitForReply(1), "5");
     const auto until = std::chrono::steady_clock::now() + longWait;
-    while (sink.others() < 3 && std::chrono::steady_clock::now() < until) {
+    while (sink.otherActions() < 3 && std::chrono::steady_clock::now() < until) {
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    EXPECT_GE(sink.others(), 3);
+    EXPECT_GE(sink.otherActions(), 3);
 }
 
-// Symptom: the end of an attempt of a retired incarnation ends an attempt of the new one, which has the same number.
-// The ledger retires the incarnation; the core asks to be replaced; answers to the old one are still in the ring.
-TEST_F(DecisionLoopTest, RetiredCoreIsReplacedAndHearsNothingMeantForTheOldOne)
+// Guards against an event of a retired incarnation's attempt that ends the new incarnation's attempt with the same
+// number. The ledger retires the incarnation and the core requests its replacement, while events for the retired
+// incarnation are still in the ring.
+TEST_F(DecisionLoopTest, ReplacementOfARetiredDeciderGetsNoEventsOfTheRetiredIncarnation)
 {
-    ask(1, "retire");
+    sendQuery(1, "retire");
     EXPECT_EQ(sink.waitForReply(1), "5");
-    ask(2, "status", Incarnation(5));
-    ask(3, "status");
+    sendQuery(2, "status", Incarnation(5));
+    sendQuery(3, "status");
     const std::string second = sink.waitForReply(3);
     const auto incarnations = sink.incarnations();
     ASSERT_EQ(incarnations.size(), 2U);
@@ -141,7 +142,7 @@
     EXPECT_EQ(second, std::to_string(incarnations[1].value()));
     loop.stop();
     EXPECT_EQ(loop.replacements(), 1U);
-    // It was in the ring before the third one.
+    // Query 2 was in the ring before query 3, so it has been discarded by now.
     EXPECT_FALSE(sink.hasReply(2));
 }
 
--- a/tests/transport/LogClientTest.cpp
+++ b/tests/transport/LogClientTest.cpp
@@ -22,7 +22,7 @@
         return jsonAnswer(200, reply.SerializeAsString());
     }
 
-    /** A log that keeps keys, and has none yet. */
+    /** Protocol of a log with keyed streams that have no keys yet. */
     class KeyedDialect final : public NativeLogDialect {
     public:
         [[nodiscard]] std::variant<NewestRead, LogProblem> newestAnswer(const HttpResponse& /*answer*/) const override
@@ -46,8 +46,8 @@
 
         bool append(const std::string& record)
         {
-            node::Append order { stream, record };
-            return client->append(order);
+            node::Append recordAppend { stream, record };
+            return client->append(recordAppend);
         }
 
         DecisionInbox inbox { 4096 };
@@ -58,25 +58,26 @@
 
 } // namespace
 
-TEST_F(LogClientTest, FollowsFromTheOffsetAndTellsEmptyReadsToo)
+TEST_F(LogClientTest, FollowsFromTheOffsetAndReportsEmptyReads)
 {
     start();
     client->follow({ stream, Offset(3) });
     auto connection = platform.accept();
     EXPECT_NE(connection.readRequest().target().find("/streams/ledger-0/records?from=3&"), std::string::npos);
     connection.write(readReply(3, { "a", "b" }, 5));
-    const auto some = nextEvent<node::LogRecords>(inbox);
-    EXPECT_EQ(some.first, Offset(3));
-    EXPECT_EQ(some.records, (std::vector<std::string> { "a", "b" }));
-    EXPECT_EQ(some.end, Offset(5));
+    const auto logRecords = nextEvent<node::LogRecords>(inbox);
+    EXPECT_EQ(logRecords.first, Offset(3));
+    EXPECT_EQ(logRecords.records, (std::vector<std::string> { "a", "b" }));
+    EXPECT_EQ(logRecords.end, Offset(5));
     EXPECT_NE(connection.readRequest().target().find("from=5&"), std::string::npos);
     connection.write(readReply(5, {}, 5));
     EXPECT_TRUE(nextEvent<node::LogRecords>(inbox).records.empty());
     EXPECT_GT(traffic.log.received, 0U);
 }
 
-// Symptom: the ledger is folded with a hole. The log, or something in between, answers with records of another offset.
-TEST_F(LogClientTest, RecordsFromElsewhereAreNotTakenIn)
+// Guards against a ledger fold with missing records. The log, or an intermediary, answers with records of another
+// offset than the requested one.
+TEST_F(LogClientTest, RecordsFromAnotherOffsetAreRejected)
 {
     start();
     client->follow({ stream, Offset(3) });
@@ -87,7 +88,7 @@
     EXPECT_NE(connection.readRequest().target().find("from=3&"), std::string::npos);
 }
 
-TEST_F(LogClientTest, ExpiryIsToldWithTheOldestOffsetKept)
+TEST_F(LogClientTest, ExpiryIsReportedWithTheOldestOffset)
 {
     start();
     client->follow({ stream, Offset(3) });
@@ -97,7 +98,7 @@
     EXPECT_EQ(nextEvent<node::LogExpired>(inbox).oldest, Offset(40));
 }
 
-TEST_F(LogClientTest, OutageIsToldAndReadingGoesOnAfterIt)
+TEST_F(LogClientTest, OutageIsReportedAndReadingContinuesAfterIt)
 {
     start();
     client->follow({ stream, Offset(0) });
@@ -115,8 +116,8 @@
     EXPECT_EQ(nextEvent<node::LogRecords>(inbox).records.size(), 1U);
 }
 
-// Without it the test waits for the pause, which is longer than any wait here.
-TEST_F(LogClientTest, ReadsWithoutAPauseWhatIsWaitedFor)
+// Without an expedited read, the follower pauses for an hour, longer than any timeout of this test.
+TEST_F(LogClientTest, ExpeditedReadSkipsThePause)
 {
     start();
     client->follow({ stream, Offset(0), node::StreamKind::Plain, std::chrono::hours(1) });
@@ -126,17 +127,17 @@
     client->readSoon(stream);
     connection.write(readReply(0, { "a" }, 1));
     static_cast<void>(nextEvent<node::LogRecords>(inbox));
-    EXPECT_NE(connection.readRequest().target().find("from=1&"), std::string::npos) << "asked for during the read";
+    EXPECT_NE(connection.readRequest().target().find("from=1&"), std::string::npos) << "expedited during the read";
     connection.write(readReply(1, { "b" }, 2));
     static_cast<void>(nextEvent<node::LogRecords>(inbox));
     client->readSoon(stream);
-    EXPECT_NE(connection.readRequest().target().find("from=2&"), std::string::npos) << "asked for during the pause";
+    EXPECT_NE(connection.readRequest().target().find("from=2&"), std::string::npos) << "expedited during the pause";
 }
 
-// Symptom: a router's refusals all name the same place in the ledger, for the rest of the day.
-// Sequence: an outage; its end finds a link that is full; what has gathered does not come through within a read's time.
-// Cause: each read asked for as much as the one before, and for what had come since.
-TEST_F(LogClientTest, AsksForFewerRecordsAfterAReadThatFailed)
+// Guards against a router whose refusals all name the same ledger offset for the rest of the day. After an outage, a
+// saturated link can't deliver the backlog within the read timeout, and each retry requested as much as the failed read
+// plus the records appended since.
+TEST_F(LogClientTest, RequestsFewerRecordsAfterAFailedRead)
 {
     start();
     client->follow({ stream, Offset(0) });
@@ -152,10 +153,9 @@
     EXPECT_NE(connection.readRequest().target().find("max=250&"), std::string::npos);
 }
 
-// Symptom: a router goes on for seconds by a configuration that has been replaced.
-// Sequence: an outage, with reads that fail; its end; a new configuration, one record of 60 KB.
-// Cause: after reads that failed less was asked for than the record takes, so it did not come.
-TEST_F(LogClientTest, AsksForAllOfAKeyedStreamAlsoAfterReadsThatFailed)
+// Guards against a router that keeps a replaced configuration for seconds. After the failed reads of an outage, a
+// smaller read was requested than the new configuration needs, a single record of 60 KB, so the record did not arrive.
+TEST_F(LogClientTest, KeyedStreamReadsAreNotReducedAfterAFailedRead)
 {
     start(longWait, std::make_shared<KeyedDialect>());
     client->follow({ stream, Offset(0), node::StreamKind::Keyed });
@@ -169,9 +169,10 @@
     EXPECT_NE(connection.readRequest().target().find("max=500&"), std::string::npos);
 }
 
-// Symptom: a draw lands twice, because a layer below the ledger repeated an append whose answer was lost. The log takes
-// the record and closes without an answer; that is told, and nothing is sent again.
-TEST_F(LogClientTest, AppendWithoutAnswerIsToldAndNotRepeated)
+// Guards against a draw that is recorded twice because a layer below the ledger retries an append whose answer was
+// lost. The log accepts the record and closes the connection without an answer; the client reports this and doesn't
+// retry.
+TEST_F(LogClientTest, AppendWithoutAnswerIsReportedAndNotRetried)
 {
     start();
     EXPECT_TRUE(append("record"));
@@ -191,7 +192,7 @@
     EXPECT_EQ(nextEvent<node::AppendAnswered>(inbox).stream, stream);
 }
 
-TEST_F(LogClientTest, AppendThatHangsIsGivenUp)
+TEST_F(LogClientTest, AppendWithoutAnswerTimesOut)
 {
     start(std::chrono::milliseconds(50));
     EXPECT_TRUE(append("record"));
@@ -199,7 +200,7 @@
     EXPECT_NE(nextEvent<node::LogUnreachable>(inbox).detail.find("timeout"), std::string::npos);
 }
 
-TEST_F(LogClientTest, StopDoesNotWaitForALongPoll)
+TEST_F(LogClientTest, StopInterruptsALongPoll)
 {
     start();
     client->follow({ stream, Offset(0) });
--- a/tests/transport/Network.cpp
+++ b/tests/transport/Network.cpp
@@ -24,8 +24,8 @@
 
     bool readable(int descriptor)
     {
-        pollfd waited { descriptor, POLLIN, 0 };
-        return ::poll(&waited, 1, static_cast<int>(std::chrono::milliseconds(longWait).count())) > 0;
+        pollfd polled { descriptor, POLLIN, 0 };
+        return ::poll(&polled, 1, static_cast<int>(std::chrono::milliseconds(longWait).count())) > 0;
     }
 
 } // namespace
@@ -40,7 +40,7 @@
 bool Connection::fill()
 {
     if (!readable(socket_.native_handle())) {
-        throw std::runtime_error("nothing came");
+        throw std::runtime_error("timeout while waiting for bytes on a test connection");
     }
     std::array<char, 4096> bytes {};
     boost::system::error_code error;
@@ -53,7 +53,8 @@
 {
     while (received_.find(mark) == std::string::npos) {
         if (!fill()) {
-            throw std::runtime_error("closed before: " + mark + ", after: " + received_.substr(0, 500));
+            throw std::runtime_error(
+                "connection closed before \"" + mark + "\"; received: " + received_.substr(0, 500));
         }
     }
     const auto end = received_.find(mark) + mark.size();
@@ -68,13 +69,13 @@
     parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     while (!parser.is_done()) {
         if (received_.empty() && !fill()) {
-            throw std::runtime_error("closed");
+            throw std::runtime_error("connection closed before an HTTP message was complete");
         }
         boost::system::error_code error;
         const std::size_t used = parser.put(boost::asio::buffer(received_), error);
         received_.erase(0, used);
         if (error == http::error::need_more && !fill()) {
-            throw std::runtime_error("closed");
+            throw std::runtime_error("connection closed within an HTTP message");
         }
         if (error && error != http::error::need_more) {
             throw std::runtime_error(error.message());
@@ -89,7 +90,7 @@
     return parser.release();
 }
 
-HttpAsk Connection::readRequest()
+HttpRequestMessage Connection::readRequest()
 {
     http::request_parser<http::string_body> parser;
     parse(parser);
@@ -116,7 +117,7 @@
 Connection Listener::accept()
 {
     if (!readable(acceptor_.native_handle())) {
-        throw std::runtime_error("nobody connected");
+        throw std::runtime_error("timeout while waiting for a connection to a test listener");
     }
     return Connection(acceptor_.accept());
 }
--- a/tests/transport/Network.h
+++ b/tests/transport/Network.h
@@ -12,29 +12,29 @@
 
 namespace swiftlift::transport::test {
 
-/** Longest wait for anything that has to happen; reached only when it doesn't. */
+/** Timeout for events that a test expects; reached only if the test fails. */
 inline constexpr std::chrono::seconds longWait { 30 };
 
 using HttpText = boost::beast::http::response<boost::beast::http::string_body>;
-using HttpAsk = boost::beast::http::request<boost::beast::http::string_body>;
+using HttpRequestMessage = boost::beast::http::request<boost::beast::http::string_body>;
 
-/** One end of a TCP connection, read and written with waits that are long but end. */
+/** One end of a TCP connection. Reads block for up to longWait. */
 class Connection {
 public:
     explicit Connection(boost::asio::ip::tcp::socket socket);
 
     void write(const std::string& bytes);
-    /** @return Everything up to and with `mark`. Throws when it doesn't come. */
+    /** @return All bytes up to the end of `mark`. Throws if the mark is not received. */
     [[nodiscard]] std::string readUntil(const std::string& mark);
     [[nodiscard]] HttpText readResponse();
-    [[nodiscard]] HttpAsk readRequest();
-    /** @return Whether the other end closes. */
+    [[nodiscard]] HttpRequestMessage readRequest();
+    /** @return Whether the other end closes the connection before a read times out. */
     [[nodiscard]] bool closes();
     [[nodiscard]] bool hasReceived() const noexcept { return !received_.empty(); }
     void close();
 
 private:
-    /** @return Whether bytes have come; not when the other end has closed. */
+    /** @return Whether the connection is still open after a read. Throws if no bytes arrive within longWait. */
     bool fill();
     template <typename Parser> void parse(Parser& parser);
 
@@ -42,7 +42,7 @@
     std::string received_;
 };
 
-/** A place that a test listens on, on loopback at a free port. */
+/** A TCP listener on a free port of the loopback address. */
 class Listener {
 public:
     Listener();
@@ -58,7 +58,7 @@
 
 [[nodiscard]] Connection connectTo(std::uint16_t port);
 
-/** @return A whole HTTP answer of JSON. */
+/** @return An HTTP response with the given status and body. */
 [[nodiscard]] std::string jsonAnswer(int status, const std::string& body);
 
 } // namespace swiftlift::transport::test
--- a/tests/transport/PeerLinksTest.cpp
+++ b/tests/transport/PeerLinksTest.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    /** A router's links at a free port. */
-    struct Node {
-        Node(std::string address, Incarnation incarnation, std::map<PeerAddress, Endpoint> via = {})
+    /** The peer links of one router, with the ring that receives their events. */
+    struct PeerLinksNode {
+        PeerLinksNode(std::string address, Incarnation incarnation, std::map<PeerAddress, Endpoint> via = {})
             : links({ PeerAddress(std::move(address)), std::move(via) }, inbox, traffic, log)
         {
             links.setIncarnation(incarnation);
@@ -30,7 +30,7 @@
 
     std::string freeAddress() { return Listener().address(); }
 
-    std::uint64_t nextLoan(Node& node)
+    std::uint64_t nextAckedLoan(PeerLinksNode& node)
     {
         return std::get<node::LoanDoneAcked>(nextEvent<node::PeerReceived>(node.inbox).message).loan;
     }
@@ -41,57 +41,57 @@
 {
     const std::string first = freeAddress();
     const std::string second = freeAddress();
-    Node a(first, Incarnation(1));
-    Node b(second, Incarnation(2));
+    PeerLinksNode a(first, Incarnation(1));
+    PeerLinksNode b(second, Incarnation(2));
     a.send(second, Incarnation(), 7);
     const auto received = nextEvent<node::PeerReceived>(b.inbox);
     EXPECT_EQ(received.sender, Incarnation(1));
     EXPECT_EQ(received.address, PeerAddress(first));
     b.send(first, Incarnation(1), 8);
-    EXPECT_EQ(nextLoan(a), 8U);
+    EXPECT_EQ(nextAckedLoan(a), 8U);
     EXPECT_GT(a.traffic.peers.sent, 0U);
     EXPECT_EQ(a.traffic.peers.sent, b.traffic.peers.received);
 }
 
-// Symptom: a router acts on an acknowledgement that was meant for the process which had its address before it. That
-// process died, the message was on its way, and the new process took the same address.
+// Guards against a router that acts on an acknowledgement addressed to the previous process at its address. That
+// process crashed while the message was in flight, and the new process uses the same address.
 TEST(PeerLinks, MessagesForAnotherIncarnationAreDropped)
 {
     const std::string second = freeAddress();
-    Node a(freeAddress(), Incarnation(1));
-    Node b(second, Incarnation(2));
+    PeerLinksNode a(freeAddress(), Incarnation(1));
+    PeerLinksNode b(second, Incarnation(2));
     a.send(second, Incarnation(99), 1);
     a.send(second, Incarnation(2), 2);
-    EXPECT_EQ(nextLoan(b), 2U);
+    EXPECT_EQ(nextAckedLoan(b), 2U);
     EXPECT_EQ(b.links.dropped(), 1U);
 }
 
-TEST(PeerLinks, PeerIsDialledAtTheAddressThatStandsInForIt)
+TEST(PeerLinks, ConnectsToThePeersSubstituteAddress)
 {
     const std::string real = freeAddress();
-    Node b(real, Incarnation(2));
-    Node a(freeAddress(), Incarnation(1), { { PeerAddress("127.0.9.9:1"), *parseEndpoint(real) } });
+    PeerLinksNode b(real, Incarnation(2));
+    PeerLinksNode a(freeAddress(), Incarnation(1), { { PeerAddress("127.0.9.9:1"), *parseEndpoint(real) } });
     a.send("127.0.9.9:1", Incarnation(), 3);
-    EXPECT_EQ(nextLoan(b), 3U);
+    EXPECT_EQ(nextAckedLoan(b), 3U);
 }
 
-// Symptom: one dead peer stops all messages of a router, or fills its memory. Nobody listens at the address; what is
-// sent there waits up to the bound and is dropped past it, while others are reached.
-TEST(PeerLinks, UnreachablePeerCostsNothingButItsOwnMessages)
+// Guards against an unreachable peer that blocks a router's messages to all peers or fills its memory. Messages to an
+// address without a listener are queued up to the limit and then dropped, while other peers are still reached.
+TEST(PeerLinks, UnreachablePeerLosesOnlyItsOwnMessages)
 {
     const std::string dead = freeAddress();
     const std::string second = freeAddress();
-    Node a(freeAddress(), Incarnation(1));
-    Node b(second, Incarnation(2));
+    PeerLinksNode a(freeAddress(), Incarnation(1));
+    PeerLinksNode b(second, Incarnation(2));
     for (std::uint64_t number = 1; number <= 1000; ++number) {
         a.send(dead, Incarnation(), number);
     }
     a.send(second, Incarnation(), 1);
-    EXPECT_EQ(nextLoan(b), 1U);
+    EXPECT_EQ(nextAckedLoan(b), 1U);
     EXPECT_GT(a.links.dropped(), 0U);
 }
 
-TEST(PeerLinks, AddressThatIsTakenIsToldAtTheStart)
+TEST(PeerLinks, ListenFailsOnAnAddressInUse)
 {
     const Listener taken;
     DecisionInbox inbox(16);
--- a/tests/transport/ReadPacerTest.cpp
+++ b/tests/transport/ReadPacerTest.cpp
@@ -13,10 +13,10 @@
         int reads = 0;
     };
 
-    // Symptom: a VM with a tenth of a core falls behind with 40 streams, though it could write what it has to.
-    // Events: an event of each stream comes every 20 ms, each with a wake-up of its own.
-    // Cause: each stream was read by itself.
-    TEST(ReadPacerTest, ReadsAllInOneRound)
+    // Guards against a VM with a tenth of a core that falls behind with 40 streams although it could forward their
+    // data. Each stream has an event every 20 ms, and each event cost a wake-up because each stream was read
+    // separately.
+    TEST(ReadPacerTest, ReadsAllStreamsInOneBatch)
     {
         boost::asio::io_context loop;
         ReadPacer pacer(loop, 20ms);
@@ -31,7 +31,7 @@
         EXPECT_EQ(second->reads, 1);
     }
 
-    TEST(ReadPacerTest, StartsAnotherRoundForWhoComesDuringOne)
+    TEST(ReadPacerTest, StartsAnotherBatchForALaterRead)
     {
         boost::asio::io_context loop;
         ReadPacer pacer(loop, 1ms);
@@ -44,7 +44,7 @@
         EXPECT_EQ(reader->reads, 2);
     }
 
-    TEST(ReadPacerTest, PassesOverWhoHasEnded)
+    TEST(ReadPacerTest, SkipsADestroyedReader)
     {
         boost::asio::io_context loop;
         ReadPacer pacer(loop, 1ms);
@@ -55,7 +55,7 @@
         EXPECT_EQ(stays->reads, 1);
     }
 
-    TEST(ReadPacerTest, ReadsAtOnceWithoutAnInterval)
+    TEST(ReadPacerTest, ReadsAtOnceIfTheIntervalIsZero)
     {
         boost::asio::io_context loop;
         ReadPacer pacer(loop, 0ms);
