--- a/tests/platform/ConfigCodecTest.cpp
+++ b/tests/platform/ConfigCodecTest.cpp
@@ -40,26 +40,25 @@
         const auto config = read(validConfig());
         ASSERT_TRUE(config) << toText(findings_.front());
         EXPECT_EQ(config->version, 7U);
-        const fleet::Route& stream = config->routes.at(0);
-        EXPECT_EQ(stream.answer, fleet::AnswerKind::Events);
-        EXPECT_TRUE(stream.resumable && stream.idempotent && stream.sharesPrefixes && !stream.open);
-        EXPECT_EQ(stream.pauseObjective, std::chrono::milliseconds(250));
-        EXPECT_EQ(stream.maxServers, 2U);
-        const fleet::Route& split = config->routes.at(1);
-        EXPECT_FALSE(split.idempotent);
-        EXPECT_TRUE(split.open);
-        ASSERT_EQ(split.targets.size(), 2U);
-        EXPECT_EQ(split.targets[1].weight, 10U);
+        const fleet::Route& streamRoute = config->routes.at(0);
+        EXPECT_EQ(streamRoute.answer, fleet::AnswerKind::Events);
+        EXPECT_TRUE(streamRoute.resumable && streamRoute.idempotent && streamRoute.sharesPrefixes && !streamRoute.open);
+        EXPECT_EQ(streamRoute.pauseObjective, std::chrono::milliseconds(250));
+        EXPECT_EQ(streamRoute.maxServers, 2U);
+        const fleet::Route& splitRoute = config->routes.at(1);
+        EXPECT_FALSE(splitRoute.idempotent);
+        EXPECT_TRUE(splitRoute.open);
+        ASSERT_EQ(splitRoute.targets.size(), 2U);
+        EXPECT_EQ(splitRoute.targets[1].weight, 10U);
         EXPECT_EQ(config->services.at(0).engine->tokensPerEvent, 7U);
         EXPECT_FALSE(config->services.at(1).engine);
         EXPECT_EQ(config->accounts.at(0).budget, Tokens(9'582'036));
         EXPECT_EQ(config->limits.idleTime, std::chrono::seconds(15));
     }
 
-    // Symptom: one broken field takes a service away, or half a configuration comes into force.
-    // Events: a record of the wrong type, a missing field, an unknown word, no JSON at all.
-    // Cause: what could not be read was taken for its default.
-    TEST_F(ConfigCodecTest, EachFaultIsFoundWithItsPlaceAndNothingIsTaken)
+    // Guards against a configuration that takes effect in part, or without one of its services, because a field that
+    // could not be read was replaced by its default: a wrong type, a missing field, an unknown value, or invalid JSON.
+    TEST_F(ConfigCodecTest, InvalidConfigurationIsRejectedWithThePathOfTheFault)
     {
         auto wrongType = validConfig();
         wrongType["routes"][0]["type"] = "sometimes";
@@ -72,16 +71,15 @@
         auto negative = validConfig();
         negative["tenants"][0]["reserved"] = -1;
         EXPECT_FALSE(read(negative));
-        auto list = validConfig();
-        list["backends"] = 3;
-        EXPECT_FALSE(read(list));
+        auto notAList = validConfig();
+        notAList["backends"] = 3;
+        EXPECT_FALSE(read(notAList));
         EXPECT_FALSE(codec_.config("{\"version\":", findings_));
     }
 
-    // Symptom: an account with a huge total has a negative budget, a route with a huge time limit ends at once.
-    // Events: numbers beyond what 64 bits hold.
-    // Cause: they were cast.
-    TEST_F(ConfigCodecTest, NumbersThatWouldWrapAroundAreFaults)
+    // Guards against casts of numbers that exceed 64 bits: an account with a huge total would get a negative budget,
+    // and requests of a route with a huge time limit would time out at once.
+    TEST_F(ConfigCodecTest, RejectsNumbersThatOverflow)
     {
         json document = validConfig();
         document["tenants"][0]["reserved"] = 1e19;
@@ -90,11 +88,11 @@
         EXPECT_EQ(findings_.size(), 2U);
     }
 
-    TEST_F(ConfigCodecTest, FieldsThatAreNotKnownAreLeftOut)
+    TEST_F(ConfigCodecTest, IgnoresUnknownFields)
     {
-        auto later = validConfig();
-        later["routes"][0]["colour"] = "blue";
-        EXPECT_TRUE(read(later));
+        auto extended = validConfig();
+        extended["routes"][0]["colour"] = "blue";
+        EXPECT_TRUE(read(extended));
     }
 
     TEST_F(ConfigCodecTest, ReadsBackendServers)
@@ -112,40 +110,39 @@
         EXPECT_FALSE(findings.empty());
     }
 
-    TEST_F(ConfigCodecTest, ReadsWhenAServersLifeBegan)
+    TEST_F(ConfigCodecTest, ReadsTheStartTimeOfABackendServer)
     {
         Findings findings;
-        const auto with = [&](const std::string& born) {
+        const auto readWithField = [&](const std::string& field) {
             return codec_.server("i-1",
-                R"({"backend":"h","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready")" + born + "}",
+                R"({"backend":"h","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready")" + field + "}",
                 findings);
         };
-        EXPECT_EQ(with("")->startedAt, 0U);
-        EXPECT_EQ(with(R"(,"born":1774825920123)")->startedAt, 1774825920123U);
+        EXPECT_EQ(readWithField("")->startedAt, 0U);
+        EXPECT_EQ(readWithField(R"(,"born":1774825920123)")->startedAt, 1774825920123U);
         EXPECT_TRUE(findings.empty());
-        for (const char* foreign : { R"(,"born":"1774825920123")", R"(,"born":1774825920.5)", R"(,"born":-1)",
+        for (const char* invalid : { R"(,"born":"1774825920123")", R"(,"born":1774825920.5)", R"(,"born":-1)",
                  R"(,"born":[])", R"(,"born":1e300)" }) {
-            EXPECT_FALSE(with(foreign)) << foreign;
+            EXPECT_FALSE(readWithField(invalid)) << invalid;
         }
         EXPECT_EQ(findings.size(), 5U);
     }
 
-    // Symptom: the process ends, or a server that nobody runs gets requests.
-    // Events: another writer's entry has fields missing, of another type, unknown words, or is no text at all.
-    // Cause: it was taken for what it is not.
-    TEST_F(ConfigCodecTest, AnEntryOfAnotherWriterNamesNoServer)
+    // Guards against a crash of the router, or requests to a server that does not exist, after another writer has
+    // stored an entry with missing fields, fields of a wrong type, unknown values, or bytes that are not text.
+    TEST_F(ConfigCodecTest, RejectsInvalidServerEntries)
     {
-        const json sound = json::parse(
+        const json valid = json::parse(
             R"({"backend":"h","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready","born":1774825920123})");
         Findings findings;
-        ASSERT_TRUE(codec_.server("i-1", sound.dump(), findings));
+        ASSERT_TRUE(codec_.server("i-1", valid.dump(), findings));
         for (const char* field : { "backend", "address", "zone", "slots", "state" }) {
-            json missing = sound;
+            json missing = valid;
             missing.erase(field);
             EXPECT_FALSE(codec_.server("i-1", missing.dump(), findings)) << field;
-            json other = sound;
-            other[field] = json::array({ 1 });
-            EXPECT_FALSE(codec_.server("i-1", other.dump(), findings)) << field;
+            json wrongType = valid;
+            wrongType[field] = json::array({ 1 });
+            EXPECT_FALSE(codec_.server("i-1", wrongType.dump(), findings)) << field;
         }
         for (const std::string& bytes : { std::string("\xff\xfe\0{", 4), std::string("[]"), std::string("{") }) {
             EXPECT_FALSE(codec_.server("i-1", bytes, findings));
--- a/tests/platform/CostMain.cpp
+++ b/tests/platform/CostMain.cpp
@@ -15,18 +15,19 @@
 #include "platform/PlatformFleet.h"
 
 /**
- * What a request costs a router in the platform's dialect: processor time and wake-ups, as its threads count them.
+ * Measures the cost of a request for a router with the platform's dialect: processor time and wake-ups of its threads.
  *
- * Callers send one request after the other, streams of 42 events or whole answers, to one router of a small fleet on
- * loopback. `swiftlift-platform-cost [REQUESTS [CALLERS [stream|plain]]]`; compare two builds in one sitting.
+ * Each caller sends its requests one after the other to one router of a small fleet on loopback. The answers are
+ * streams of 42 events, or are sent as a whole. Usage: `swiftlift-platform-cost [REQUESTS [CALLERS [stream|plain]]]`.
+ * Results are only comparable between builds that run on the same machine at about the same time.
  */
 namespace {
 
 using swiftlift::platform::test::PlatformFleet;
 
 constexpr std::int64_t budget = 2'000'000'000;
-constexpr unsigned eventsOfStream = 42;
-constexpr unsigned betweenEventsMs = 20;
+constexpr unsigned eventsPerStream = 42;
+constexpr unsigned eventIntervalMs = 20;
 
 struct Options {
     std::uint64_t requests = 1'000;
@@ -34,21 +35,23 @@
     bool streams = true;
 };
 
-/** What a process has used so far, over all its threads. */
-struct Used {
+/** Resources that all threads of a process have used since its start. */
+struct ResourceUsage {
     double processorSeconds = 0;
     std::uint64_t wakeUps = 0;
 };
 
-double ticksOf(pid_t process)
+/** @return User and kernel time of a process in clock ticks. */
+double processorTicks(pid_t process)
 {
     std::ifstream file("/proc/" + std::to_string(process) + "/stat");
     std::string text;
     std::getline(file, text);
     std::istringstream fields(text.substr(text.rfind(')') + 2));
-    constexpr int beforeTimes = 11;
+    // Fields of /proc/PID/stat between the process name and the user time.
+    constexpr int fieldsBeforeTimes = 11;
     std::string skipped;
-    for (int index = 0; index < beforeTimes; ++index) {
+    for (int index = 0; index < fieldsBeforeTimes; ++index) {
         fields >> skipped;
     }
     double user = 0;
@@ -57,7 +60,8 @@
     return user + kernel;
 }
 
-std::uint64_t wakeUpsOf(const std::filesystem::path& thread)
+/** @return Voluntary context switches of a thread, given its folder in /proc. */
+std::uint64_t threadWakeUps(const std::filesystem::path& thread)
 {
     const std::string name = "voluntary_ctxt_switches:";
     std::ifstream file(thread / "status");
@@ -69,18 +73,18 @@
     return 0;
 }
 
-Used usedBy(pid_t process)
+ResourceUsage resourceUsageOf(pid_t process)
 {
-    Used used;
-    used.processorSeconds = ticksOf(process) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+    ResourceUsage usage;
+    usage.processorSeconds = processorTicks(process) / static_cast<double>(::sysconf(_SC_CLK_TCK));
     for (const auto& thread : std::filesystem::directory_iterator("/proc/" + std::to_string(process) + "/task")) {
-        used.wakeUps += wakeUpsOf(thread.path());
+        usage.wakeUps += threadWakeUps(thread.path());
     }
-    return used;
+    return usage;
 }
 
-/** @return Requests that were answered with 200. */
-std::uint64_t load(const PlatformFleet& fleet, const Options& options)
+/** @return Number of requests that were answered with status 200. */
+std::uint64_t sendRequests(const PlatformFleet& fleet, const Options& options)
 {
     std::atomic<std::uint64_t> next = 0;
     std::atomic<std::uint64_t> answered = 0;
@@ -102,24 +106,26 @@
     return answered;
 }
 
-void report(const Options& options, std::uint64_t answered, const Used& before, const Used& after, double idleShare)
+/** @param idleLoad Processor time of the router without requests, in seconds per second. */
+void report(const Options& options, std::uint64_t answered, const ResourceUsage& before, const ResourceUsage& after,
+    double idleLoad)
 {
     const auto requests = static_cast<double>(options.requests);
     const double milliseconds = (after.processorSeconds - before.processorSeconds) * 1000;
     std::cout << std::fixed << std::setprecision(3) << answered << " of " << options.requests << " answered; "
-              << milliseconds / requests << " ms of processor and "
-              << static_cast<double>(after.wakeUps - before.wakeUps) / requests << " wake-ups a request";
+              << milliseconds / requests << " ms of processor time and "
+              << static_cast<double>(after.wakeUps - before.wakeUps) / requests << " wake-ups per request";
     if (options.streams) {
-        std::cout << " of " << eventsOfStream << " events";
+        std::cout << " of " << eventsPerStream << " events";
     }
-    std::cout << "; at rest " << idleShare * 1000 << " ms a second\n";
+    std::cout << "; at rest (no requests) " << idleLoad * 1000 << " ms of processor time per second\n";
 }
 
 int measure(const Options& options, const std::filesystem::path& folder)
 {
     PlatformFleet fleet(SWIFTLIFT_ROUTER, folder, budget);
     for (std::size_t engine = 0; engine < 4; ++engine) {
-        fleet.engine(engine).control({ { "events", eventsOfStream }, { "between_events_ms", betweenEventsMs } });
+        fleet.engine(engine).control({ { "events", eventsPerStream }, { "between_events_ms", eventIntervalMs } });
     }
     if (!fleet.start()) {
         std::cerr << "the fleet did not become ready\n";
@@ -127,11 +133,11 @@
     }
     const pid_t router = fleet.router(0).pid();
     std::cout << "router " << router << std::endl;
-    const Used atRest = usedBy(router);
+    const ResourceUsage atRest = resourceUsageOf(router);
     std::this_thread::sleep_for(std::chrono::seconds(3));
-    const Used before = usedBy(router);
-    const std::uint64_t answered = load(fleet, options);
-    report(options, answered, before, usedBy(router), (before.processorSeconds - atRest.processorSeconds) / 3);
+    const ResourceUsage before = resourceUsageOf(router);
+    const std::uint64_t answered = sendRequests(fleet, options);
+    report(options, answered, before, resourceUsageOf(router), (before.processorSeconds - atRest.processorSeconds) / 3);
     return answered == options.requests ? 0 : 1;
 }
 
@@ -139,11 +145,11 @@
 
 int main(int count, char** arguments)
 {
-    const std::vector<std::string> words(arguments + 1, arguments + count);
+    const std::vector<std::string> parameters(arguments + 1, arguments + count);
     Options options;
-    options.requests = words.empty() ? options.requests : std::stoull(words[0]);
-    options.callers = words.size() < 2 ? options.callers : static_cast<unsigned>(std::stoul(words[1]));
-    options.streams = words.size() < 3 || words[2] == "stream";
+    options.requests = parameters.empty() ? options.requests : std::stoull(parameters[0]);
+    options.callers = parameters.size() < 2 ? options.callers : static_cast<unsigned>(std::stoul(parameters[1]));
+    options.streams = parameters.size() < 3 || parameters[2] == "stream";
     const auto folder = std::filesystem::temp_directory_path() / ("swiftlift-cost-" + std::to_string(::getpid()));
     const int status = measure(options, folder);
     std::filesystem::remove_all(folder);
--- a/tests/platform/CrashingRequestTest.cpp
+++ b/tests/platform/CrashingRequestTest.cpp
@@ -11,11 +11,12 @@
 namespace swiftlift::platform::test {
 namespace {
 
-    /** A request may have so many backend servers end under it, and reaches no more. */
-    constexpr std::uint64_t mostCrashes = 3;
-    constexpr int repeats = 12;
-    /** A caller that asks again; longer than the way of a word from one VM to the others. */
-    constexpr std::chrono::milliseconds repeatPause { 300 };
+    /** Number of backend servers that may crash under a request before it is quarantined. */
+    constexpr std::uint64_t maxCrashes = 3;
+    /** Number of attempts of the caller. */
+    constexpr int attemptCount = 12;
+    /** Time between two attempts of a caller; longer than a crash report takes from one VM to the others. */
+    constexpr std::chrono::milliseconds retryInterval { 300 };
 
     class CrashingRequestTest : public testing::Test {
     protected:
@@ -40,14 +41,17 @@
             return { .path = "/stream/" + name, .id = name, .tokens = "12,35", .deadlineMs = 2000 };
         }
 
-        /** Sends the same request again and again, each time as a new attempt at the next VM. */
+        /**
+         * Sends the same request repeatedly, each time with a new id and to the next router.
+         * @return The last answer.
+         */
         CallerAnswer repeat(CallerRequest request, int times)
         {
             CallerAnswer last;
             for (int number = 0; number < times; ++number) {
                 request.id = "attempt-" + std::to_string(++attempts_);
                 last = fleet_->send(static_cast<std::size_t>(attempts_) % fleet_->routers(), request);
-                std::this_thread::sleep_for(repeatPause);
+                std::this_thread::sleep_for(retryInterval);
             }
             return last;
         }
@@ -57,42 +61,43 @@
         int attempts_ = 0;
     };
 
-    // Guards against: a request that crashes whoever runs it goes on being sent, at every VM where it comes in.
-    TEST_F(CrashingRequestTest, ReachesNoFurtherBackendServerAfterThreeHaveEnded)
+    // Guards against a request that crashes each backend server that runs it and is still dispatched by every router
+    // that receives it.
+    TEST_F(CrashingRequestTest, IsQuarantinedAfterThreeCrashes)
     {
-        std::atomic<bool> over = false;
-        std::atomic<int> unrelated = 0;
-        std::thread bystander([&] {
-            for (; !over; ++unrelated) {
-                (void)fleet_->send(static_cast<std::size_t>(unrelated) % fleet_->routers(),
-                    stream("other-" + std::to_string(unrelated)));
+        std::atomic<bool> stopped = false;
+        std::atomic<int> otherRequests = 0;
+        std::thread otherCaller([&] {
+            for (; !stopped; ++otherRequests) {
+                (void)fleet_->send(static_cast<std::size_t>(otherRequests) % fleet_->routers(),
+                    stream("other-" + std::to_string(otherRequests)));
             }
         });
-        const CallerAnswer answer = repeat(stream("poison"), repeats);
-        over = true;
-        bystander.join();
-        EXPECT_LE(fleet_->crashes(), mostCrashes);
+        const CallerAnswer answer = repeat(stream("poison"), attemptCount);
+        stopped = true;
+        otherCaller.join();
+        EXPECT_LE(fleet_->crashes(), maxCrashes);
         EXPECT_EQ(answer.status, 429U);
         for (std::size_t router = 0; router < fleet_->routers(); ++router) {
             EXPECT_EQ(fleet_->send(router, stream("after-" + std::to_string(router))).status, 200U);
         }
     }
 
-    // Guards against: one attempt of a caller ends as many servers as its route allows, over and over.
-    TEST_F(CrashingRequestTest, OwnRepeatsOfARouterCountAsWell)
+    // Guards against a caller whose every attempt crashes as many backend servers as the route allows attempts.
+    TEST_F(CrashingRequestTest, RouterRetriesCountTowardsTheLimit)
     {
-        (void)repeat({ .path = "/plain/poison" }, repeats);
-        EXPECT_LE(fleet_->crashes(), mostCrashes);
+        (void)repeat({ .path = "/plain/poison" }, attemptCount);
+        EXPECT_LE(fleet_->crashes(), maxCrashes);
         EXPECT_EQ(fleet_->send(0, { .path = "/plain/x", .id = "after" }).status, 200U);
     }
 
-    // Guards against: the limit holds for routers that were there, and a fleet that starts anew begins from zero.
-    TEST_F(CrashingRequestTest, StaysOutAfterAllRoutersWereKilled)
+    // Guards against counts of crashes that exist only in the routers' memory and start from zero after a restart.
+    TEST_F(CrashingRequestTest, StaysQuarantinedAfterRestartOfAllRouters)
     {
-        (void)repeat(stream("poison"), repeats);
+        (void)repeat(stream("poison"), attemptCount);
         const std::uint64_t before = fleet_->crashes();
         ASSERT_TRUE(fleet_->restartRouters());
-        (void)repeat(stream("poison"), repeats);
+        (void)repeat(stream("poison"), attemptCount);
         EXPECT_EQ(fleet_->crashes(), before);
     }
 
--- a/tests/platform/FleetTest.cpp
+++ b/tests/platform/FleetTest.cpp
@@ -13,7 +13,7 @@
 namespace swiftlift::platform::test {
 namespace {
 
-    constexpr std::chrono::milliseconds longBound { 60'000 };
+    constexpr std::chrono::milliseconds maxWait { 60'000 };
 
     class PlatformFleetTest : public testing::Test {
     protected:
@@ -30,12 +30,12 @@
             std::filesystem::remove_all(folder_);
         }
 
-        /** Sends until the answer has this status. */
+        /** @return Whether an answer had this status within the wait limit; the request is repeated with new ids. */
         [[nodiscard]] bool sendUntil(std::size_t router, CallerRequest request, unsigned status)
         {
-            const auto until = std::chrono::steady_clock::now() + longBound;
+            const auto until = std::chrono::steady_clock::now() + maxWait;
             for (int number = 0; std::chrono::steady_clock::now() < until; ++number) {
-                request.id = "until-" + std::to_string(++sent_);
+                request.id = "until-" + std::to_string(++requestCount_);
                 if (fleet_->send(router, request).status == status) {
                     return true;
                 }
@@ -44,12 +44,12 @@
             return false;
         }
 
-        /** @return The first line of this kind in the router's log, once there is one; null when none came. */
-        [[nodiscard]] nlohmann::json lineOf(std::size_t router, const std::string& kind)
+        /** @return The first line with this event in the router's log; null if none came within the wait limit. */
+        [[nodiscard]] nlohmann::json waitForLogLine(std::size_t router, const std::string& event)
         {
-            const auto until = std::chrono::steady_clock::now() + longBound;
+            const auto until = std::chrono::steady_clock::now() + maxWait;
             while (std::chrono::steady_clock::now() < until) {
-                if (const auto lines = scenario::linesOfKinds(fleet_->router(router).printed(), { kind });
+                if (const auto lines = scenario::linesOfKinds(fleet_->router(router).printed(), { event });
                     !lines.empty()) {
                     return lines.front();
                 }
@@ -60,7 +60,7 @@
 
         std::filesystem::path folder_;
         std::unique_ptr<PlatformFleet> fleet_;
-        int sent_ = 0;
+        int requestCount_ = 0;
     };
 
     TEST_F(PlatformFleetTest, ServesWholeAnswersAndStreamsOfEvents)
@@ -74,17 +74,17 @@
         EXPECT_NE(stream.body.find("id: 5\n"), std::string::npos) << stream.body;
     }
 
-    TEST_F(PlatformFleetTest, RefusesWhatTheConfigurationDoesNotAllow)
+    TEST_F(PlatformFleetTest, RefusesUnknownRoutesAndKeys)
     {
         EXPECT_EQ(fleet_->send(0, { .path = "/elsewhere/x", .id = "a" }).status, 404U);
         EXPECT_EQ(fleet_->send(0, { .id = "b", .key = "another" }).status, 401U);
         EXPECT_EQ(fleet_->runsOf("a") + fleet_->runsOf("b"), 0U);
     }
 
-    // Symptom: a caller whose money is used up is told to come back, or one that has money is told to pay.
-    // Events: requests until the budget is used up; the operator raises its total.
-    // Cause: a router took what it holds itself for the whole budget.
-    TEST_F(PlatformFleetTest, BudgetEndsAndIsRaised)
+    // Guards against a router that mistakes the tokens that it holds for the whole budget. It would answer with a
+    // retry status when the budget is used up, or refuse for lack of budget while tokens are left or the total was
+    // raised.
+    TEST_F(PlatformFleetTest, RefusesUntilTheUsedUpBudgetIsRaised)
     {
         const CallerRequest large { .path = "/stream/x", .tokens = "30000,35" };
         EXPECT_TRUE(sendUntil(0, large, 402));
@@ -92,25 +92,23 @@
         EXPECT_TRUE(sendUntil(0, large, 200));
     }
 
-    // Symptom: a stream ends half way though another engine could have gone on.
-    // Events: the engine closes within its second event.
-    // Cause: the half event was passed on, or nobody resumed.
-    TEST_F(PlatformFleetTest, ResumesAStreamElsewhereAfterItsLastWholeEvent)
+    // Guards against a stream that ends early although another engine could have resumed it. The engine closes the
+    // connection within its second event; the router must not forward the partial event and has to resume the stream.
+    TEST_F(PlatformFleetTest, ResumesAStreamAtAnotherEngine)
     {
         fleet_->engine(0).control({ { "break_next", 1 }, { "half_event", true } });
         fleet_->engine(1).control({ { "break_next", 1 }, { "half_event", true } });
         const CallerAnswer answer = fleet_->send(0, { .path = "/resumable/x", .id = "r", .tokens = "12,35" });
-        // Both engines break off once: the second attempt ends early as well, and the route allows no third.
+        // Each engine closes the connection once, so the second attempt fails as well. The route allows no third one.
         EXPECT_FALSE(answer.whole);
         const CallerAnswer after = fleet_->send(0, { .path = "/resumable/x", .id = "r2", .tokens = "12,35" });
         EXPECT_TRUE(after.whole);
         EXPECT_NE(after.body.find("id: 5\n"), std::string::npos);
     }
 
-    // Symptom: an order is placed twice.
-    // Events: the engine runs a request that may run once, and closes without an answer.
-    // Cause: no answer was taken for not run.
-    TEST_F(PlatformFleetTest, WhatMayRunOnceIsNotRepeated)
+    // Guards against running a request twice that isn't idempotent. The engine runs the request and closes the
+    // connection without an answer; a router must not conclude that the request did not run.
+    TEST_F(PlatformFleetTest, RetriesOnlyIdempotentRequests)
     {
         fleet_->engine(2).control({ { "break_next", 1 } });
         EXPECT_EQ(fleet_->send(0, { .path = "/order/x", .id = "once" }).status, 502U);
@@ -119,10 +117,9 @@
         EXPECT_EQ(fleet_->send(0, { .path = "/plain/x", .id = "again" }).status, 200U);
     }
 
-    // Symptom: requests fail while the store is out of reach, though all that they need is known.
-    // Events: the store turns every call away.
-    // Cause: routers asked it for each request.
-    TEST_F(PlatformFleetTest, GoesOnServingWhileTheStoreIsOutOfReach)
+    // Guards against a call to the store for each request: while the store refuses every call, requests would fail
+    // although the routers have all the data that is needed.
+    TEST_F(PlatformFleetTest, ServesWhileTheStoreIsUnavailable)
     {
         EXPECT_EQ(fleet_->send(0, { .path = "/stream/x", .id = "before", .tokens = "12,35" }).status, 200U);
         fleet_->store().control({ { "turn_away", 503 } });
@@ -131,10 +128,9 @@
         EXPECT_EQ(fleet_->readiness(0), 200U);
     }
 
-    // Symptom: every stream of a router is cut, and the router starts anew.
-    // Events: the platform sends SIGHUP to tell of changed settings.
-    // Cause: nobody took the signal, and its default ends the process.
-    TEST_F(PlatformFleetTest, HangUpSignalReloadsAndCutsNothing)
+    // Guards against a missing handler for SIGHUP, which the platform sends after a change of settings. The default
+    // action of the signal ends the process: all streams of the router are cut, and the router restarts.
+    TEST_F(PlatformFleetTest, HangUpSignalReloadsSettingsAndKeepsServing)
     {
         fleet_->router(0).signal(SIGHUP);
         std::ofstream(fleet_->settingsOf(0), std::ios::app) << "logging:\n  level: debug\n";
@@ -143,10 +139,9 @@
         EXPECT_TRUE(fleet_->router(0).running());
     }
 
-    // Symptom: answers in progress are cut by a planned stop.
-    // Events: SIGTERM in the middle of a stream.
-    // Cause: the process left before its requests had ended.
-    TEST_F(PlatformFleetTest, PlannedStopCutsNothing)
+    // Guards against a planned stop that cuts answers: SIGTERM comes in the middle of a stream, and the process must
+    // not exit before its requests have ended.
+    TEST_F(PlatformFleetTest, PlannedStopCompletesRequestsInFlight)
     {
         fleet_->engine(0).control({ { "between_events_ms", 200 } });
         fleet_->engine(1).control({ { "between_events_ms", 200 } });
@@ -159,20 +154,19 @@
         EXPECT_TRUE(fleet_->waitForReadiness(0, 503));
         caller.join();
         EXPECT_TRUE(answer.whole);
-        EXPECT_EQ(fleet_->router(0).waitForExit(longBound), 0);
+        EXPECT_EQ(fleet_->router(0).waitForExit(maxWait), 0);
     }
 
-    // Symptom: an account pays for more of a stream than its caller got.
-    // Events: the stream is given up midway, at the caller's deadline.
-    // Cause: the bill was made before it was known how many events had been passed on.
-    TEST_F(PlatformFleetTest, CutStreamIsBilledForTheEventsThatItsCallerGot)
+    // Guards against billing an account for more events of a stream than its caller received. The stream is cut midway
+    // at the caller's deadline, and the bill must not be computed before the number of forwarded events is final.
+    TEST_F(PlatformFleetTest, CutStreamIsBilledForForwardedEvents)
     {
         fleet_->engine(0).control({ { "between_events_ms", 400 } });
         fleet_->engine(1).control({ { "between_events_ms", 400 } });
         const CallerAnswer answer
             = fleet_->send(0, { .path = "/stream/x", .id = "cut", .tokens = "12,35", .deadlineMs = 1000 });
         EXPECT_FALSE(answer.whole);
-        const nlohmann::json cut = lineOf(0, "cut_billed");
+        const nlohmann::json cut = waitForLogLine(0, "cut_billed");
         ASSERT_TRUE(cut.is_object());
         const auto events = cut["events"].get<std::uint64_t>();
         EXPECT_GT(events, 0U);
@@ -181,10 +175,9 @@
         EXPECT_LT(cut["billed"], 12 + 35) << "less than the longest answer";
     }
 
-    // Symptom: an engine that announced its leaving is still given requests.
-    // Events: its entry says so, or ends.
-    // Cause: routers went by their last request to it.
-    TEST_F(PlatformFleetTest, LeavingEngineGetsNothingNew)
+    // Guards against sending requests to an engine whose entry says that it is draining, because the routers rely on
+    // the success of their last request to it.
+    TEST_F(PlatformFleetTest, DrainingEngineGetsNoNewRequests)
     {
         fleet_->registerEngine(2, "draining");
         EXPECT_TRUE(sendUntil(0, {}, 200));
--- a/tests/platform/HttpDialectTest.cpp
+++ b/tests/platform/HttpDialectTest.cpp
@@ -17,7 +17,7 @@
                 { "Deadline-Ms", "12000" }, { "Credential", "secret" } } };
     }
 
-    TEST(HttpDialectTest, ReadsWhatRoutingAndMoneyNeed)
+    TEST(HttpDialectTest, ReadsTheFieldsForRoutingAndBilling)
     {
         const auto parsed = HttpDialect().facts(validRequest());
         ASSERT_TRUE(std::holds_alternative<node::ProxyRequestInfo>(parsed));
@@ -33,14 +33,13 @@
         EXPECT_EQ(facts.prefix[1].tokens, Tokens(410));
     }
 
-    // Symptom: a request runs under another one's id, or its cost is taken for nothing.
-    // Events: two ids or hosts, counts that are no numbers, a target that is no path.
-    // Cause: the first, or none, was taken instead of refusing.
-    TEST(HttpDialectTest, RefusesWhatCanBeReadInTwoWays)
+    // Guards against requests that run under the id of another request or without a cost. This happens if the router
+    // uses the first of two ids or hosts, or ignores invalid counts or a target that is not a path.
+    TEST(HttpDialectTest, RefusesAmbiguousOrMalformedRequests)
     {
-        const auto refused = [](auto change) {
+        const auto refused = [](auto modify) {
             RequestHead request = validRequest();
-            change(request);
+            modify(request);
             const auto parsed = HttpDialect().facts(request);
             const auto* reply = std::get_if<node::Reply>(&parsed);
             return reply != nullptr && reply->status == 400;
@@ -55,14 +54,13 @@
         EXPECT_TRUE(refused([](RequestHead& head) { head.target = "http://ficu95.example/lohu930/"; }));
     }
 
-    // Symptom: a request that costs more than any budget runs, and nothing is reserved for it.
-    // Events: a caller names counts near the end of 64 bits, or two different ones.
-    // Cause: their sum came out negative; of two fields the first was read, and an engine may read the other.
-    TEST(HttpDialectTest, CountsThatOverflowOrContradictAreRefused)
+    // Guards against requests that cost more than any budget and run without a reservation of tokens: the sum of counts
+    // near the limit of 64 bits is negative, and an engine may read the second of two fields, but the router the first.
+    TEST(HttpDialectTest, RefusesTokenCountsThatOverflowAndRepeatedFields)
     {
-        const auto refused = [](const char* field, const char* value, bool again) {
+        const auto refused = [](const char* field, const char* value, bool asSecondField) {
             RequestHead request = validRequest();
-            if (again) {
+            if (asSecondField) {
                 request.fields.push_back({ field, value });
             } else {
                 request.fields[3] = { field, value };
@@ -77,7 +75,7 @@
         EXPECT_FALSE(refused("Token-Usage", "1000000,1000000", false));
     }
 
-    TEST(HttpDialectTest, ADeadlineFarAwayDoesNotWrapAround)
+    TEST(HttpDialectTest, LongDeadlineDoesNotOverflow)
     {
         RequestHead request = validRequest();
         request.fields[5].value = "9223372036854775807";
@@ -86,20 +84,19 @@
         EXPECT_GT(*std::get<node::ProxyRequestInfo>(parsed).deadline, std::chrono::hours(1));
     }
 
-    // Symptom: an engine sees a caller's key, or takes a caller's word for whom it works.
-    // Events: a caller sends headers that are the system's to set.
-    // Cause: all headers were passed on.
-    TEST(HttpDialectTest, SetsWhatIsTheSystemsToSet)
+    // Guards against forwarding all headers of a caller: an engine would receive the caller's key, or accept an account
+    // or another reserved header that the caller has set.
+    TEST(HttpDialectTest, ReplacesReservedHeaders)
     {
         RequestHead request = validRequest();
         request.fields.push_back({ "tenant", "somebody" });
         request.fields.push_back({ "Kv-From", "10.0.0.1:1/h" });
-        node::ProxyDispatch order;
-        order.backend = BackendId("i-7f3a91c2");
-        order.account = AccountId("hule930");
-        order.urgency = 1;
-        order.timeLeft = std::chrono::milliseconds(1234);
-        const HeaderFields sent = HttpDialect().towardsBackend(request.fields, order, std::nullopt);
+        node::ProxyDispatch dispatch;
+        dispatch.backend = BackendId("i-7f3a91c2");
+        dispatch.account = AccountId("hule930");
+        dispatch.urgency = 1;
+        dispatch.timeLeft = std::chrono::milliseconds(1234);
+        const HeaderFields sent = HttpDialect().towardsBackend(request.fields, dispatch, std::nullopt);
         EXPECT_EQ(valueOf(sent, "Credential"), std::nullopt);
         EXPECT_EQ(valueOf(sent, "Kv-From"), std::nullopt);
         EXPECT_EQ(countOf(sent, "Tenant"), 1U);
@@ -108,10 +105,10 @@
         EXPECT_EQ(valueOf(sent, "Expect-Instance"), "i-7f3a91c2");
         EXPECT_EQ(valueOf(sent, "Prefix-Hash"), "5c1e07a2:800,91bd3f06:410,e4402b7d:250");
         EXPECT_EQ(valueOf(sent, "Last-Event-Id"), std::nullopt);
-        EXPECT_EQ(valueOf(HttpDialect().towardsBackend(request.fields, order, 17), "Last-Event-Id"), "17");
+        EXPECT_EQ(valueOf(HttpDialect().towardsBackend(request.fields, dispatch, 17), "Last-Event-Id"), "17");
     }
 
-    TEST(HttpDialectTest, ReadsWhatAnAnswerSaysOfItself)
+    TEST(HttpDialectTest, ReadsTheMarksOfAnAnswer)
     {
         const auto served = HttpDialect().marks({ 200, { { "request-id", "a" }, { "Server-Stamp", "x" } } });
         EXPECT_TRUE(served.genuine && !served.notStarted && !served.otherServer);
@@ -120,7 +117,7 @@
         EXPECT_TRUE(HttpDialect().marks({ 421, {} }).otherServer);
     }
 
-    TEST(HttpDialectTest, TellsWhenToComeBackInFractions)
+    TEST(HttpDialectTest, WritesRetryAfterInFractionalSeconds)
     {
         node::Reply refusal;
         refusal.retryAfter = std::chrono::milliseconds(2050);
--- a/tests/platform/PlatformFleet.cpp
+++ b/tests/platform/PlatformFleet.cpp
@@ -17,14 +17,14 @@
 
 namespace {
 
-    constexpr std::chrono::seconds longBound { 60 };
+    constexpr std::chrono::seconds maxWait { 60 };
     constexpr std::chrono::milliseconds pollInterval { 20 };
     const std::vector<std::string> domains { "regina-a", "regina-b" };
 
     /**
-     * @return Where routers listen: an address of this process' own. Connections of other tests leave from 127.0.0.1,
-     * and fleets of other processes listen elsewhere; either could take a port of a shared address between the choice
-     * and the router's start, which ends with "Address already in use".
+     * @return The loopback address of this process, on which its routers listen. On an address shared with other
+     * processes, their listeners or outgoing connections (127.0.0.1) could take a chosen port before the router starts,
+     * which then fails with "Address already in use".
      */
     std::string routerHost()
     {
@@ -37,28 +37,28 @@
     }
 
     /**
-     * @return An address of the routers' host whose port is free at the moment. No port is named twice: it is free
-     * again as soon as it was found, and two listeners of one router that got the same one would keep it from starting.
+     * @return An address of the routers' host with a port that is free at the moment. No port is returned twice: the
+     * port is released at once, and a router with the same port for two listeners would fail to start.
      */
     std::string freeAddress()
     {
-        static std::set<std::uint16_t> named;
+        static std::set<std::uint16_t> used;
         const std::string host = routerHost();
         standins::asio::io_context context;
         std::uint16_t port = 0;
         do {
             const Tcp::acceptor acceptor(context, Tcp::endpoint(standins::asio::ip::make_address(host), 0));
             port = acceptor.local_endpoint().port();
-        } while (!named.insert(port).second);
+        } while (!used.insert(port).second);
         return host + ":" + std::to_string(port);
     }
 
-    /** Shows the end of the log of a router that doesn't get ready: its folder is gone when the test has ended. */
-    void showEnd(const scenario::Process& router)
+    /** Prints the end of the log of a router that did not become ready; the log is deleted when the test ends. */
+    void printLastLines(const scenario::Process& router)
     {
-        constexpr std::size_t shownLines = 15;
+        constexpr std::size_t lineCount = 15;
         std::cerr << router.name() << ":\n";
-        for (const std::string& line : scenario::lastLines(router.output(), shownLines)) {
+        for (const std::string& line : scenario::lastLines(router.output(), lineCount)) {
             std::cerr << line << '\n';
         }
     }
@@ -115,10 +115,10 @@
 {
     standin::EngineSettings settings;
     settings.id = "i-" + std::to_string(index);
-    auto restarted = [this, index](const std::string& ended, const std::string& begun) {
+    auto restarted = [this, index](const std::string& ended, const std::string& started) {
         ++crashes_;
-        dropEntry(ended);
-        putEntry(index, begun, "ready");
+        deleteEntry(ended);
+        putEntry(index, started, "ready");
     };
     engines_.push_back(std::make_unique<RunningService>(
         std::make_unique<standin::EngineService>(std::move(settings), std::move(restarted))));
@@ -132,14 +132,15 @@
 void PlatformFleet::addRouter(std::size_t index, const std::string& domain)
 {
     Router router;
-    router.callers = freeAddress();
+    router.callerAddress = freeAddress();
     router.readiness = freeAddress();
     router.settings = folder_ / ("router-" + std::to_string(index) + ".yaml");
     std::ofstream file(router.settings);
     file << "dialect: platform\nvm:\n  peer: " << seeds_[index] << "\n  domain: " << domain
-         << "\n  region: sask-south\ncallers:\n  listen: " << router.callers << "\n  readiness: " << router.readiness
-         << "\noperators:\n  listen: " << freeAddress() << "\nmetrics:\n  listen: " << freeAddress()
-         << "\nlog:\n  endpoints:\n    - " << store_->address() << "\npeers:\n  seeds:\n";
+         << "\n  region: sask-south\ncallers:\n  listen: " << router.callerAddress
+         << "\n  readiness: " << router.readiness << "\noperators:\n  listen: " << freeAddress()
+         << "\nmetrics:\n  listen: " << freeAddress() << "\nlog:\n  endpoints:\n    - " << store_->address()
+         << "\npeers:\n  seeds:\n";
     for (const std::string& seed : seeds_) {
         file << "    - " << seed << "\n";
     }
@@ -177,11 +178,11 @@
         router.process->start();
     }
     for (std::size_t index = 0; index < routers_.size(); ++index) {
-        const bool here = waitForReadiness(index, 200);
-        if (!here) {
-            showEnd(*routers_[index].process);
+        const bool routerReady = waitForReadiness(index, 200);
+        if (!routerReady) {
+            printLastLines(*routers_[index].process);
         }
-        ready = ready && here;
+        ready = ready && routerReady;
     }
     return ready;
 }
@@ -199,7 +200,7 @@
     putEntry(engine, "i-" + std::to_string(engine), state);
 }
 
-void PlatformFleet::unregisterEngine(std::size_t engine) { dropEntry("i-" + std::to_string(engine)); }
+void PlatformFleet::unregisterEngine(std::size_t engine) { deleteEntry("i-" + std::to_string(engine)); }
 
 void PlatformFleet::putEntry(std::size_t engine, const std::string& id, const std::string& state)
 {
@@ -209,14 +210,14 @@
     store_->control({ { "put", { { "topic", "keyed.servers" }, { "key", id }, { "value", entry.dump() } } } });
 }
 
-void PlatformFleet::dropEntry(const std::string& id)
+void PlatformFleet::deleteEntry(const std::string& id)
 {
     store_->control({ { "put", { { "topic", "keyed.servers" }, { "key", id } } } });
 }
 
 CallerAnswer PlatformFleet::send(std::size_t router, const CallerRequest& request) const
 {
-    standins::HttpClient client(endpointOf(routers_.at(router).callers));
+    standins::HttpClient client(endpointOf(routers_.at(router).callerAddress));
     std::map<std::string, std::string> headers { { "Host", "desk.example" }, { "Request-Id", request.id },
         { "Credential", request.key }, { "Deadline-Ms", std::to_string(request.deadlineMs) }, { "Model", "m" } };
     if (!request.tokens.empty()) {
@@ -236,7 +237,7 @@
 
 bool PlatformFleet::waitForReadiness(std::size_t router, unsigned status) const
 {
-    const auto until = std::chrono::steady_clock::now() + longBound;
+    const auto until = std::chrono::steady_clock::now() + maxWait;
     while (std::chrono::steady_clock::now() < until) {
         if (readiness(router) == status) {
             return true;
@@ -246,10 +247,10 @@
     return false;
 }
 
-std::uint64_t PlatformFleet::runsOf(const std::string& id) { return auditedOf(id, "runs"); }
-std::uint64_t PlatformFleet::eventsOf(const std::string& id) { return auditedOf(id, "events"); }
+std::uint64_t PlatformFleet::runsOf(const std::string& id) { return auditCount(id, "runs"); }
+std::uint64_t PlatformFleet::eventsOf(const std::string& id) { return auditCount(id, "events"); }
 
-std::uint64_t PlatformFleet::auditedOf(const std::string& id, const std::string& count)
+std::uint64_t PlatformFleet::auditCount(const std::string& id, const std::string& count)
 {
     std::uint64_t sum = 0;
     for (const auto& engine : engines_) {
--- a/tests/platform/PlatformFleet.h
+++ b/tests/platform/PlatformFleet.h
@@ -15,12 +15,12 @@
 
 namespace swiftlift::platform::test {
 
-/** An answer as a caller gets it. */
+/** An answer that a caller received. */
 struct CallerAnswer {
-    /** 0: the connection ended without one. */
+    /** HTTP status; 0: the connection ended without an answer. */
     unsigned status = 0;
     std::string body;
-    /** The answer came whole. */
+    /** Whether the answer is complete. */
     bool whole = false;
 };
 
@@ -29,13 +29,13 @@
     std::string path = "/plain/x";
     std::string id = "r1";
     std::string key = "key-one";
-    /** `IN,OUT`; empty: the request counts no tokens. */
+    /** Value of the header Token-Usage, `IN,OUT`; empty: the request has no token counts. */
     std::string tokens {};
     std::uint64_t deadlineMs = 5000;
     std::string body = "{}";
 };
 
-/** How many there are of each; they take turns in the failure domains. */
+/** Number of routers and engines. Each kind is distributed over the failure domains in turn. */
 struct FleetSize {
     std::size_t routers = 2;
     std::size_t modelEngines = 2;
@@ -43,67 +43,71 @@
 };
 
 /**
- * @brief Real routers in the platform's dialect on loopback, with stand-ins for its store and its engines.
+ * @brief Router processes with the platform's dialect on loopback, with stand-ins for the platform's store and engines.
  *
- * Unless told otherwise, two failure domains with one VM each; a model service with an engine in each domain and a
- * plain service with one in each; one account `club` with the key `key-one`.
+ * By default, there are two failure domains with one VM each, and the services `model` and `plain` with one engine per
+ * failure domain each. The only account is `club` with the key `key-one`.
  */
 class PlatformFleet {
 public:
-    /** @param router Path of the router program. @param folder Takes settings and logs. @param budget Of the account.
+    /**
+     * @param router Path of the router program.
+     * @param folder Folder for settings and logs.
+     * @param budget Total tokens of the account.
+     * @param size Number of routers and engines.
      */
     PlatformFleet(std::string router, std::filesystem::path folder, std::int64_t budget, FleetSize size = {});
 
-    /** Starts the routers, publishes the configuration and waits until all say that they are ready. */
+    /** Publishes the configuration, starts the routers and waits for them. @return Whether all became ready. */
     [[nodiscard]] bool start();
-    /** Kills all routers, starts them again and waits as start() does. */
+    /** Kills all routers, starts them again and waits for them. @return Whether all became ready. */
     [[nodiscard]] bool restartRouters();
 
     [[nodiscard]] CallerAnswer send(std::size_t router, const CallerRequest& request) const;
-    /** @return Status of the answer to the question whether the router is ready; 0: no answer. */
+    /** @return HTTP status of the router's readiness check; 0: no answer. */
     [[nodiscard]] unsigned readiness(std::size_t router) const;
     [[nodiscard]] bool waitForReadiness(std::size_t router, unsigned status) const;
 
-    /** Publishes the configuration with the next version and this total of the account's tokens. */
+    /** Publishes the configuration with a higher version and this total of the account's tokens. */
     void publish(std::int64_t budget);
-    /** Writes an engine's entry, as the engine would. */
+    /** Writes an engine's entry to the store, as the engine itself does on the platform. */
     void registerEngine(std::size_t engine, const std::string& state);
-    /** Ends an engine's entry. */
+    /** Deletes an engine's entry from the store. */
     void unregisterEngine(std::size_t engine);
 
     [[nodiscard]] standins::RunningService& store() noexcept { return *store_; }
-    /** Those of the model service come first. */
+    /** @param index The engines of the model service come first, then those of the plain service. */
     [[nodiscard]] standins::RunningService& engine(std::size_t index) { return *engines_.at(index); }
     [[nodiscard]] std::size_t engines() const noexcept { return engines_.size(); }
-    /** @return How many lives of engines have ended in a crash, all engines together. */
+    /** @return Number of crashes of all engines. */
     [[nodiscard]] std::uint64_t crashes() const noexcept { return crashes_.load(); }
     [[nodiscard]] std::size_t routers() const noexcept { return routers_.size(); }
     [[nodiscard]] scenario::Process& router(std::size_t index) { return *routers_.at(index).process; }
-    [[nodiscard]] std::string addressOf(std::size_t router) const { return routers_.at(router).callers; }
+    [[nodiscard]] std::string addressOf(std::size_t router) const { return routers_.at(router).callerAddress; }
     [[nodiscard]] const std::filesystem::path& settingsOf(std::size_t router) const
     {
         return routers_.at(router).settings;
     }
-    /** @return How often engines started the request. */
+    /** @return How often the engines started the request with this id. */
     [[nodiscard]] std::uint64_t runsOf(const std::string& id);
-    /** @return Events that engines made for the request. */
+    /** @return Number of events that the engines sent for the request with this id. */
     [[nodiscard]] std::uint64_t eventsOf(const std::string& id);
 
 private:
     struct Router {
-        std::string callers;
+        std::string callerAddress;
         std::string readiness;
         std::filesystem::path settings;
         std::unique_ptr<scenario::Process> process;
     };
 
-    /** @return Sum over the engines of what their audits count of the request. */
-    [[nodiscard]] std::uint64_t auditedOf(const std::string& id, const std::string& count);
+    /** @return Sum of a count, such as `runs`, of the request in the audits of all engines. */
+    [[nodiscard]] std::uint64_t auditCount(const std::string& id, const std::string& count);
     void addRouter(std::size_t index, const std::string& domain);
     void addEngine(std::size_t index);
     [[nodiscard]] bool startRouters();
     void putEntry(std::size_t engine, const std::string& id, const std::string& state);
-    void dropEntry(const std::string& id);
+    void deleteEntry(const std::string& id);
     [[nodiscard]] std::string serviceOf(std::size_t engine) const;
 
     std::string program_;
--- a/tests/platform/StoreDialectTest.cpp
+++ b/tests/platform/StoreDialectTest.cpp
@@ -23,7 +23,7 @@
         StoreDialect dialect_;
     };
 
-    TEST_F(StoreDialectTest, AppendsOneRecordWithItsLengthBefore)
+    TEST_F(StoreDialectTest, AppendsRecordWithLengthPrefix)
     {
         const auto request = dialect_.append({ ledger, "ab", {} });
         EXPECT_EQ(request.method, "POST");
@@ -31,7 +31,7 @@
         EXPECT_EQ(request.body, std::string("\0\0\0\2ab", 6));
     }
 
-    TEST_F(StoreDialectTest, AppendsKeyedRecordsAndDropsKeys)
+    TEST_F(StoreDialectTest, AppendsKeyedRecordsAndDeletesKeys)
     {
         const StreamName vms { "vms" };
         const auto put = dialect_.append({ vms, "{}", "a:1" });
@@ -40,7 +40,7 @@
         EXPECT_EQ(dialect_.append({ vms, {}, "a:1" }).body, std::string("\0\0\0\4\3a:1", 8));
     }
 
-    TEST_F(StoreDialectTest, ReadsRecordsAndTheEnd)
+    TEST_F(StoreDialectTest, ReadsRecordsAndEndOffset)
     {
         const std::string body("\0\0\0\0\0\0\3\x4a\0\0\0\0\0\0\0\0\0\0\0\2ab\0\0\0\1c", 27);
         const LogRead read = readOf(body);
@@ -48,10 +48,9 @@
         EXPECT_EQ(read.records, (std::vector<std::string> { "ab", "c" }));
     }
 
-    // Symptom: a reader folds half a record, or stops without a word.
-    // Events: an answer is cut within a record or its length.
-    // Cause: lengths were trusted beyond the answer's end.
-    TEST_F(StoreDialectTest, CutAnswersAreProblemsWithAReason)
+    // Guards against reading beyond the end of an answer that was truncated within a record or its length: the reader
+    // would process half a record, or stop without an error message.
+    TEST_F(StoreDialectTest, ReportsTruncatedAnswers)
     {
         const std::string whole("\0\0\0\0\0\0\3\x4a\0\0\0\0\0\0\0\0\0\0\0\2ab", 22);
         for (const std::size_t size : { std::size_t { 9 }, std::size_t { 18 }, std::size_t { 21 } }) {
@@ -61,21 +60,21 @@
         }
     }
 
-    TEST_F(StoreDialectTest, ExpiryTellsTheOldestOffset)
+    TEST_F(StoreDialectTest, ReadsTheOldestOffsetAfterExpiry)
     {
         const auto gone = dialect_.readAnswer({ 410, R"({"first_offset":17})" }, Offset(3));
         EXPECT_EQ(std::get<LogGone>(gone).oldest, Offset(17));
         EXPECT_TRUE(std::holds_alternative<LogProblem>(dialect_.readAnswer({ 410, "{}" }, Offset(3))));
     }
 
-    TEST_F(StoreDialectTest, TopicThatDoesNotExistYetIsEmpty)
+    TEST_F(StoreDialectTest, MissingTopicReadsAsEmpty)
     {
         const auto read = dialect_.readAnswer({ 404, "" }, Offset(0));
         EXPECT_TRUE(std::get<LogRead>(read).records.empty());
         EXPECT_TRUE(std::get<NewestRead>(dialect_.newestAnswer({ 404, "" })).records.empty());
     }
 
-    TEST_F(StoreDialectTest, ReadsTheNewestOfEachKey)
+    TEST_F(StoreDialectTest, ReadsTheNewestRecordOfEachKey)
     {
         const auto answer = dialect_.newestAnswer({ 200,
             R"({"entries":[{"key":"config","value":"eyJhIjoxfQ==","offset":4}],"has_more":true,"end_offset":6})" });
@@ -89,7 +88,7 @@
             "/-/log-newest?topic=keyed.op&part=0&after=a%20b");
     }
 
-    TEST_F(StoreDialectTest, GarbledListsAreProblems)
+    TEST_F(StoreDialectTest, ReportsMalformedLists)
     {
         for (const char* body : { "", "[]", R"({"end_offset":1})", R"({"end_offset":1,"entries":3})" }) {
             EXPECT_TRUE(std::holds_alternative<LogProblem>(dialect_.newestAnswer({ 200, body }))) << body;
@@ -97,10 +96,9 @@
         EXPECT_TRUE(std::holds_alternative<LogProblem>(dialect_.newestAnswer({ 503, "" })));
     }
 
-    // Symptom: no backend server is known, or none that has registered since.
-    // Events: another writer leaves entries without a key, without an offset, with a value that is no base64.
-    // Cause: one entry that could not be read made the whole list a failure.
-    TEST_F(StoreDialectTest, EntriesOfAnotherWriterArePassedOverAndTold)
+    // Guards against rejecting a whole list because of one unreadable entry, which hides all backend servers or those
+    // registered later. Other writers may leave entries without a key or an offset, or with a value that isn't base64.
+    TEST_F(StoreDialectTest, SkipsAndReportsUnreadableEntries)
     {
         const auto page = dialect_.newestAnswer({ 200,
             R"({"end_offset":9,"has_more":true,"entries":[{"key":1},7,null,{"key":"k1","value":"?","offset":1},
@@ -115,7 +113,7 @@
         EXPECT_EQ(read.lastKey, "k4");
     }
 
-    TEST_F(StoreDialectTest, TakesKeyedRecordsApart)
+    TEST_F(StoreDialectTest, SplitsKeyedRecords)
     {
         const auto put = dialect_.keyedRecord(Offset(9), std::string("\3key{}", 6));
         ASSERT_TRUE(put);
--- a/tests/platform/standin/EngineService.cpp
+++ b/tests/platform/standin/EngineService.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-    /** @return Whether one was left, which is taken. */
-    bool take(std::uint64_t& left)
+    /** Decrements the count unless it is 0. @return Whether it was decremented. */
+    bool takeOne(std::uint64_t& remaining)
     {
-        if (left == 0) {
+        if (remaining == 0) {
             return false;
         }
-        --left;
+        --remaining;
         return true;
     }
 
@@ -29,7 +29,7 @@
 } // namespace
 
 EngineService::EngineService(
-    EngineSettings settings, std::function<void(const std::string& ended, const std::string& begun)> restarted)
+    EngineSettings settings, std::function<void(const std::string& ended, const std::string& started)> restarted)
     : settings_(std::move(settings))
     , restarted_(std::move(restarted))
     , firstId_(settings_.id)
@@ -67,13 +67,13 @@
 
 void EngineService::onRestart()
 {
-    const std::string ended = std::exchange(settings_.id, firstId_ + "-" + std::to_string(++lives_));
+    const std::string ended = std::exchange(settings_.id, firstId_ + "-" + std::to_string(++instanceCount_));
     if (restarted_) {
         restarted_(ended, settings_.id);
     }
 }
 
-void EngineService::sign(Exchange& exchange) const
+void EngineService::addStamp(Exchange& exchange) const
 {
     const std::string id = exchange.header("Request-Id");
     exchange.setHeader("Request-Id", id);
@@ -91,43 +91,43 @@
     run.account = exchange.header("Tenant");
     run.resumedAfter = exchange.header("Last-Event-Id");
     run.keySeen = run.keySeen || !exchange.header("Credential").empty();
-    sign(exchange);
+    addStamp(exchange);
     if (crash().happensOn(exchange.path())) {
         co_await crash().run(exchange);
         co_return;
     }
     if (exchange.header("Token-Usage").empty()) {
-        co_await whole(exchange, run);
+        co_await sendWhole(exchange, run);
     } else {
-        co_await stream(exchange, run);
+        co_await sendStream(exchange, run);
     }
 }
 
-Awaitable<void> EngineService::whole(Exchange& exchange, Run& run)
+Awaitable<void> EngineService::sendWhole(Exchange& exchange, Run& run)
 {
     co_await exchange.sleep(Milliseconds(settings_.wholeMs));
     run.cut = exchange.isClosed();
-    if (take(breakNext_)) {
+    if (takeOne(breakNext_)) {
         exchange.drop();
-    } else if (take(failNext_)) {
+    } else if (takeOne(failNext_)) {
         co_await exchange.answer(500, "text/plain", "failed");
     } else {
         co_await exchange.answer(200, "text/plain", "served by " + settings_.id);
     }
 }
 
-Awaitable<void> EngineService::stream(Exchange& exchange, Run& run)
+Awaitable<void> EngineService::sendStream(Exchange& exchange, Run& run)
 {
-    if (take(failNext_)) {
+    if (takeOne(failNext_)) {
         co_await exchange.answer(500, "text/plain", "failed");
         co_return;
     }
     std::uint64_t after = 0;
     std::from_chars(run.resumedAfter.data(), run.resumedAfter.data() + run.resumedAfter.size(), after);
-    const bool breaks = take(breakNext_);
+    const bool closesEarly = takeOne(breakNext_);
     co_await exchange.startStream("text/event-stream");
     for (std::uint64_t id = after + 1; id <= settings_.events && !exchange.isClosed(); ++id) {
-        if (breaks && id == after + 2) {
+        if (closesEarly && id == after + 2) {
             if (halfEvent_) {
                 co_await exchange.writeChunk(eventText(id).substr(0, 7));
             }
--- a/tests/platform/standin/EngineService.h
+++ b/tests/platform/standin/EngineService.h
@@ -10,36 +10,44 @@
 namespace swiftlift::platform::standin {
 
 struct EngineSettings {
-    /** Its id: one life of it. */
+    /** Id of the first instance of the engine. */
     std::string id = "i-1";
+    /** Time until a whole answer. */
     double wholeMs = 2;
+    /** Events of a whole stream. */
     std::uint64_t events = 5;
     double betweenEventsMs = 2;
     std::uint64_t tokensPerEvent = 7;
 };
 
 /**
- * @brief Stands in for an engine of the platform: a stream of events where a request counts tokens, else one body.
+ * @brief Stand-in for an engine of the platform.
  *
- * `POST /control` takes `fail_next` (answers 500 to so many), `break_next` (closes after the first event, or without an
- * answer), `full` (answers 503 and starts nothing), `foreign_next` (sends an answer to another request before its own),
- * `half_event` (with `break_next`: closes within an event) and `id`.
+ * Answers a request that has token counts with a stream of events, and any other request with a single body.
  *
- * `crash_on` names a part of a path: the engine crashes as it runs such a request, takes all others that it has with
- * it, and is back after `down_ms` under a new id.
+ * `POST /control` accepts `fail_next` (number of requests that are answered with 500), `break_next` (number of requests
+ * whose connection is closed after the first event, or without an answer), `full` (requests are answered with 503 and
+ * not started), `half_event` (with `break_next`: the connection is closed within an event), `id`, `events` and
+ * `between_events_ms`.
+ *
+ * `crash_on` is a part of a path: the engine crashes when it runs a request with such a path, which ends all its other
+ * requests too. It restarts after `down_ms` with a new id.
  */
 class EngineService final : public standins::Service {
 public:
-    /** @param restarted Told the ids of the life that ended and of the new one, on the engine's thread. */
+    /**
+     * @param settings Initial settings.
+     * @param restarted Called on the engine's thread after a crash, with the ids of the crashed and the new instance.
+     */
     explicit EngineService(EngineSettings settings,
-        std::function<void(const std::string& ended, const std::string& begun)> restarted = {});
+        std::function<void(const std::string& ended, const std::string& started)> restarted = {});
 
     void onRestart() override;
     [[nodiscard]] standins::Awaitable<void> serve(standins::Exchange& exchange) override;
     [[nodiscard]] standins::Json audit(const standins::Exchange& exchange) const override;
 
 private:
-    /** What the audit knows of one request. */
+    /** Data of one request for the audit. */
     struct Run {
         std::uint64_t runs = 0;
         std::string account;
@@ -51,14 +59,14 @@
 
     [[nodiscard]] bool refuses(const standins::Exchange& exchange) const;
     [[nodiscard]] standins::Awaitable<void> refuse(standins::Exchange& exchange);
-    [[nodiscard]] standins::Awaitable<void> whole(standins::Exchange& exchange, Run& run);
-    [[nodiscard]] standins::Awaitable<void> stream(standins::Exchange& exchange, Run& run);
-    void sign(standins::Exchange& exchange) const;
+    [[nodiscard]] standins::Awaitable<void> sendWhole(standins::Exchange& exchange, Run& run);
+    [[nodiscard]] standins::Awaitable<void> sendStream(standins::Exchange& exchange, Run& run);
+    void addStamp(standins::Exchange& exchange) const;
 
     EngineSettings settings_;
     std::function<void(const std::string&, const std::string&)> restarted_;
     std::string firstId_;
-    std::uint64_t lives_ = 1;
+    std::uint64_t instanceCount_ = 1;
     std::map<std::string, Run> runs_;
     std::uint64_t refused_ = 0;
     std::uint64_t failNext_ = 0;
--- a/tests/platform/standin/StoreService.cpp
+++ b/tests/platform/standin/StoreService.cpp
@@ -14,16 +14,17 @@
 namespace {
 
     constexpr std::size_t lengthBytes = 4;
-    constexpr std::size_t numberBytes = 8;
+    constexpr std::size_t offsetBytes = 8;
     constexpr unsigned bitsPerByte = 8;
-    constexpr std::uint64_t longestWaitMs = 30'000;
-    constexpr std::size_t mostEntries = 500;
+    constexpr std::uint64_t maxWaitMs = 30'000;
+    /** Maximum number of keys in one answer of `/-/log-newest`. */
+    constexpr std::size_t maxEntries = 500;
 
     std::string bigEndian(std::uint64_t number, std::size_t bytes)
     {
         std::string text(bytes, '\0');
-        for (std::size_t place = bytes; place > 0; --place) {
-            text[place - 1] = static_cast<char>(number & 0xFFU);
+        for (std::size_t position = bytes; position > 0; --position) {
+            text[position - 1] = static_cast<char>(number & 0xFFU);
             number >>= bitsPerByte;
         }
         return text;
@@ -32,21 +33,21 @@
     std::optional<std::deque<std::string>> splitRecords(const std::string& body)
     {
         std::deque<std::string> records;
-        std::size_t place = 0;
-        while (place < body.size()) {
-            if (body.size() - place < lengthBytes) {
+        std::size_t position = 0;
+        while (position < body.size()) {
+            if (body.size() - position < lengthBytes) {
                 return std::nullopt;
             }
             std::size_t length = 0;
             for (std::size_t byte = 0; byte < lengthBytes; ++byte) {
-                length = (length << bitsPerByte) | static_cast<unsigned char>(body[place + byte]);
+                length = (length << bitsPerByte) | static_cast<unsigned char>(body[position + byte]);
             }
-            place += lengthBytes;
-            if (body.size() - place < length) {
+            position += lengthBytes;
+            if (body.size() - position < length) {
                 return std::nullopt;
             }
-            records.push_back(body.substr(place, length));
-            place += length;
+            records.push_back(body.substr(position, length));
+            position += length;
         }
         return records;
     }
@@ -62,7 +63,7 @@
     {
         Json entries = Json::array();
         auto entry = topic.newest().upper_bound(after);
-        for (; entry != topic.newest().end() && entries.size() < mostEntries; ++entry) {
+        for (; entry != topic.newest().end() && entries.size() < maxEntries; ++entry) {
             entries.push_back({ { "key", entry->first }, { "value", standins::toBase64(entry->second.value) },
                 { "offset", entry->second.offset } });
         }
@@ -152,8 +153,8 @@
     }
     Topic& topic = topicNamed(exchange.parameter("topic"));
     const auto offset = topic.append(std::move(*records));
-    const bool answerable = co_await gate_.leave(exchange);
-    if (answerable) {
+    const bool canAnswer = co_await gate_.leave(exchange);
+    if (canAnswer) {
         co_await exchange.answerJson(200, appendedReply(offset, topic));
     }
 }
@@ -163,20 +164,20 @@
     ++reads_;
     Topic& topic = topicNamed(exchange.parameter("topic"));
     const auto from = exchange.number("from", 0);
-    const auto wait = std::min(exchange.number("wait_ms", 0), longestWaitMs);
+    const auto wait = std::min(exchange.number("wait_ms", 0), maxWaitMs);
     const auto deadline = standins::Clock::now() + std::chrono::milliseconds(wait);
     while (from >= topic.end() && standins::Clock::now() < deadline && !exchange.isClosed()) {
         co_await exchange.wait(topic.appended(), deadline);
     }
-    const bool answerable = co_await gate_.leave(exchange);
-    if (!answerable) {
+    const bool canAnswer = co_await gate_.leave(exchange);
+    if (!canAnswer) {
         co_return;
     }
     if (from < topic.first()) {
         co_await exchange.answerJson(410, goneReply(topic));
         co_return;
     }
-    std::string body = bigEndian(topic.end(), numberBytes) + bigEndian(topic.first(), numberBytes);
+    std::string body = bigEndian(topic.end(), offsetBytes) + bigEndian(topic.first(), offsetBytes);
     for (auto offset = from; offset < topic.end(); ++offset) {
         body += bigEndian(topic.record(offset).size(), lengthBytes) + topic.record(offset);
     }
--- a/tests/platform/standin/StoreService.h
+++ b/tests/platform/standin/StoreService.h
@@ -12,7 +12,7 @@
 
 namespace swiftlift::platform::standin {
 
-/** One topic with one partition: records with offsets from 0, and of keyed topics the newest record of each key. */
+/** A topic with one partition: its records by offset, and for a keyed topic also the newest record of each key. */
 class Topic {
 public:
     explicit Topic(bool keyed)
@@ -20,9 +20,9 @@
     {
     }
 
-    /** @return The offset of the first record. */
+    /** @return The offset of the first appended record. */
     std::uint64_t append(std::deque<std::string> records);
-    /** Lets all but the newest records expire; the newest record of each key stays. */
+    /** Expires all records but the newest `count`; the newest record of each key stays available by its key. */
     void keepNewest(std::uint64_t count);
 
     [[nodiscard]] std::uint64_t first() const noexcept { return first_; }
@@ -47,11 +47,11 @@
 };
 
 /**
- * @brief Stands in for the platform's metadata store, as far as the router uses it.
+ * @brief Stand-in for the platform's metadata store with the calls that the router uses.
  *
- * `POST /control` takes, beside the gate's names, `put` ({"topic", "key", "value"}: a write of the operator or an
- * engine; without a value the key is dropped), `keep` (records that each topic keeps) and `turn_away` (a status that
- * every call gets; 0: none).
+ * `POST /control` accepts the controls of standins::Gate, `put` ({"topic", "key", "value"}: a write of the operator or
+ * an engine; without a value the key is deleted), `keep` (number of newest records that each topic keeps) and
+ * `turn_away` (HTTP status with which every call is answered; 0: calls are served).
  */
 class StoreService final : public standins::Service {
 public:
