--- a/include/swiftlift/transport/ActionSink.h
+++ b/include/swiftlift/transport/ActionSink.h
@@ -5,7 +5,7 @@
 
 namespace swiftlift::transport {
 
-/** Carries the core's actions out, by handing them to the threads that do I/O. Never blocks. */
+/** Executes the core's actions by passing them to the I/O threads. Never blocks. */
 class ActionSink {
 public:
     ActionSink() = default;
@@ -13,12 +13,13 @@
     ActionSink(const ActionSink&) = delete;
     ActionSink& operator=(const ActionSink&) = delete;
 
+    /** Passes one action to the thread that executes it. */
     virtual void execute(node::Action&& action) = 0;
 
-    /** Called after each round of decisions: hands over what found a full ring. */
+    /** Called after each round of decisions: retries actions that were held back because a ring was full. */
     virtual void flush() = 0;
 
-    /** A new core starts; nothing that answers an earlier one may reach it. */
+    /** Starts a new incarnation of the core; events caused by an earlier incarnation must not reach it. */
     virtual void beginIncarnation(Incarnation incarnation) = 0;
 };
 
--- a/include/swiftlift/transport/CallerText.h
+++ b/include/swiftlift/transport/CallerText.h
@@ -8,37 +8,41 @@
 
 namespace swiftlift::transport {
 
-// JSON texts towards callers, see docs/PROTOCOLS.md section 1.
+// JSON texts that are sent to callers, see docs/PROTOCOLS.md section 1.
 
-/** A whole answer, as it was collected. */
+/** An answer's text, as collected so far, and its token counts. */
 struct WholeAnswer {
     std::string text;
     Tokens promptTokens;
     Tokens answerTokens;
 };
 
-/** @return The answer with its bill; `text` is left out of a stream's last line. */
+/**
+ * @param billed Tokens that are billed to the client account.
+ * @param withText Whether the answer's text is included; false for the last line of a stream.
+ * @return The answer as JSON.
+ */
 [[nodiscard]] std::string answeredText(
     std::string_view requestId, const WholeAnswer& answer, Tokens billed, bool withText);
 
-/** @return A refusal, or an outcome that is not known. */
+/** @return The JSON of a refusal, or of an unknown outcome. */
 [[nodiscard]] std::string notAnsweredText(std::string_view requestId, const node::Reply& reply);
 
-/** @return One token of a stream, as a line. */
+/** @return One token of a stream, as a JSON line. */
 [[nodiscard]] std::string tokenLine(std::string_view token, std::int64_t index);
 
 /**
- * @return A refusal of the transport's own, of a request that the core never saw. Its outcome is "not run", which holds
- * for this attempt alone: see outcomeUnseen().
+ * @return A refusal by the transport, of a request that was not passed to the core. Its outcome is "not run", which is
+ * true only of this attempt of the caller: see outcomeUnseen().
  */
 [[nodiscard]] node::Reply refusal(int status, std::string reason, std::string detail);
 
-/** @return The refusal of a request that is one too many. */
+/** @return The refusal of a request under overload. */
 [[nodiscard]] node::Reply overloadedRefusal(std::string detail);
 
 /**
- * @param attempt What the caller's Swiftlift-Attempt says; empty: it was left out.
- * @return What may be said of a request that is refused before the core has seen it.
+ * @param attempt Value of the caller's Swiftlift-Attempt header; empty: absent.
+ * @return The outcome to report for a request that is refused before it reaches the core.
  */
 [[nodiscard]] node::Outcome outcomeUnseen(std::string_view attempt);
 
--- a/include/swiftlift/transport/EventSplitter.h
+++ b/include/swiftlift/transport/EventSplitter.h
@@ -8,34 +8,35 @@
 
 namespace swiftlift::transport {
 
-/** One whole event of a `text/event-stream`. */
+/** One complete event of a `text/event-stream`. */
 struct StreamEvent {
-    /** As it came, with the empty line that ends it. */
+    /** The event as received, with the empty line that ends it. */
     std::string bytes;
-    /** Nothing: it has none, or none that is a number. */
+    /** The event's id; empty if it is absent or not a number. */
     std::optional<std::uint64_t> id;
 };
 
 /**
- * @brief Cuts a `text/event-stream` into whole events.
+ * @brief Splits a `text/event-stream` into complete events.
  *
- * What goes wrong without it: an engine dies in the middle of an event, the half is passed on, and what another engine
- * goes on with is read as its other half. So only whole events leave here.
+ * Only complete events are forwarded. If an engine crashed in the middle of an event and the partial event had been
+ * forwarded, the caller would read the output of the next engine as the rest of that event.
  */
 class EventSplitter {
 public:
-    /** @param maxBytes Of one event. */
+    /** @param maxBytes Maximum size of one event. */
     explicit EventSplitter(std::size_t maxBytes);
 
+    /** Appends received bytes. */
     void add(std::string_view bytes) { waiting_ += bytes; }
 
-    /** @return The next whole event; nothing until more bytes come. */
+    /** @return The next complete event; empty if more bytes are needed. */
     [[nodiscard]] std::optional<StreamEvent> next();
 
-    /** @return Whether part of an event is left over. */
+    /** @return Whether an incomplete event is buffered. */
     [[nodiscard]] bool partial() const noexcept { return taken_ < waiting_.size(); }
 
-    /** @return Whether an event is larger than any may be. */
+    /** @return Whether the buffered event exceeds the maximum size. */
     [[nodiscard]] bool tooLarge() const noexcept { return waiting_.size() - taken_ > maxBytes_; }
 
 private:
--- a/include/swiftlift/transport/Hashing.h
+++ b/include/swiftlift/transport/Hashing.h
@@ -12,10 +12,10 @@
 
 namespace swiftlift::transport {
 
-/** Bytes of a prompt that count as its prefix. */
+/** Length of the prompt prefix that prefixHash() covers. */
 inline constexpr std::size_t prefixBytes = 256;
 
-/** @return The request's key: xxh128 of account, a zero byte and the caller's id. */
+/** @return The request's key: xxh128 of the account, a zero byte and the caller's request id. */
 [[nodiscard]] RequestKey requestKey(const AccountId& account, const CallerRequestId& id);
 
 /** @return The key as 32 hexadecimal digits. */
@@ -23,20 +23,20 @@
 
 using swiftlift::toHex;
 
-/** @return SHA-256 of a client account's key, in hex; empty when the library fails. */
+/** @return SHA-256 of a client account's key, in hex; empty if the library reports an error. */
 [[nodiscard]] std::string keyHash(std::string_view bearerKey);
 
 /**
- * Nobody can make another request that has the same digest, so nobody can pass for another's request.
- * @return Digest of a request's method, host, path with query, and body; nothing when the library fails.
+ * The hash is collision-resistant, so that no caller can forge a request with the digest of another one.
+ * @return Digest of a request's method, host, path with query, and body; empty if the library reports an error.
  */
 [[nodiscard]] std::optional<ContentDigest> contentDigest(
     std::string_view method, std::string_view host, std::string_view target, std::string_view body);
 
-/** @return xxh64 of the prompt's first bytes. */
+/** @return xxh64 of the prompt's first `prefixBytes` bytes. */
 [[nodiscard]] std::uint64_t prefixHash(std::string_view prompt) noexcept;
 
-/** @return Tokens that a prompt counts as: a quarter of its bytes, rounded up. */
+/** @return Estimated number of tokens in a prompt: a quarter of its bytes, rounded up. */
 [[nodiscard]] Tokens promptTokens(std::string_view prompt) noexcept;
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/HeaderFields.h
+++ b/include/swiftlift/transport/HeaderFields.h
@@ -7,7 +7,7 @@
 
 namespace swiftlift::transport {
 
-/** A header field of a message, as it came. */
+/** A header field of a message, as received. */
 struct HeaderField {
     std::string name;
     std::string value;
@@ -17,29 +17,29 @@
 
 using HeaderFields = std::vector<HeaderField>;
 
-/** What comes before a request's body. */
+/** Request line and header fields of a request. */
 struct RequestHead {
     std::string method;
     std::string target;
     HeaderFields fields;
 };
 
-/** What comes before an answer's body. */
+/** Status and header fields of an answer. */
 struct AnswerHead {
     int status = 0;
     HeaderFields fields;
 };
 
-/** @return Whether the two names are the same; the case of letters doesn't matter. */
+/** @return Whether the two names are equal, ignoring case. */
 [[nodiscard]] bool sameName(std::string_view left, std::string_view right) noexcept;
 
-/** @return The value of the first field of that name; nothing when there is none. */
+/** @return The value of the first field with the name; empty if there is none. */
 [[nodiscard]] std::optional<std::string_view> valueOf(const HeaderFields& fields, std::string_view name) noexcept;
 
-/** @return How many fields have that name. */
+/** @return The number of fields with the name. */
 [[nodiscard]] std::size_t countOf(const HeaderFields& fields, std::string_view name) noexcept;
 
-/** @return The fields that concern the message and not only the connection it came on. */
+/** @return The end-to-end fields: `fields` without the hop-by-hop fields. */
 [[nodiscard]] HeaderFields endToEnd(const HeaderFields& fields);
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/ProxyDialect.h
+++ b/include/swiftlift/transport/ProxyDialect.h
@@ -11,19 +11,23 @@
 
 namespace swiftlift::transport {
 
-/** What a backend server's answer says of itself. */
+/** Routing information in the head of a backend server's answer. */
 struct AnswerMarks {
-    /** Of the request that it answers. */
+    /** Id of the request that is answered. */
     std::string requestId;
-    /** It bears the signature that only backend servers give. */
+    /** The answer has the signature header that only backend servers set. */
     bool genuine = false;
-    /** The server says that it did not start the request. */
+    /** The server states that it did not start the request. */
     bool notStarted = false;
-    /** Another server than the one that was meant has the address; it did not start the request. */
+    /** A different server now has the address of the intended one; it did not start the request. */
     bool otherServer = false;
 };
 
-/** How callers and backend servers say what concerns routing: names of headers. Translates and decides nothing. */
+/**
+ * @brief Maps between routing information and the headers that callers and backend servers use for it.
+ *
+ * Only translates; takes no routing decisions.
+ */
 class ProxyDialect {
 public:
     ProxyDialect() = default;
@@ -31,21 +35,23 @@
     ProxyDialect(const ProxyDialect&) = delete;
     ProxyDialect& operator=(const ProxyDialect&) = delete;
 
-    /** @return What the core has to know of a request; the refusal of one that says too little or too much. */
+    /** @return The routing facts of a request for the core, or a refusal if its headers are incomplete or
+     * contradictory. */
     [[nodiscard]] virtual std::variant<node::ProxyRequestInfo, node::Reply> facts(const RequestHead& request) const = 0;
 
     /**
-     * @param fields What the caller sent, without what concerned its connection alone.
-     * @param order What the core ordered.
-     * @param lastEvent The last event that the caller has; nothing: it has none.
-     * @return What the backend server is sent.
+     * @param fields The caller's header fields, without the hop-by-hop fields.
+     * @param order The core's dispatch of the request.
+     * @param lastEvent Id of the last event that the caller has received; empty: none received.
+     * @return The header fields for the backend server.
      */
     [[nodiscard]] virtual HeaderFields towardsBackend(
         const HeaderFields& fields, const node::ProxyDispatch& order, std::optional<std::uint64_t> lastEvent) const = 0;
 
+    /** @return The routing information in an answer's head. */
     [[nodiscard]] virtual AnswerMarks marks(const AnswerHead& answer) const = 0;
 
-    /** @return What a refusal tells its caller beside its status. */
+    /** @return The header fields that a refusal has besides its status. */
     [[nodiscard]] virtual HeaderFields ofRefusal(const node::Reply& refusal, const std::string& requestId) const = 0;
 };
 
--- a/include/swiftlift/transport/RequestParsing.h
+++ b/include/swiftlift/transport/RequestParsing.h
@@ -10,7 +10,7 @@
 
 namespace swiftlift::transport {
 
-/** What a caller's HTTP request says, before it is understood. Headers that are absent are empty. */
+/** Unparsed parts of a caller's HTTP request. Absent headers are empty. */
 struct RawRequest {
     std::string method;
     std::string target;
@@ -25,19 +25,20 @@
     std::string body;
 };
 
-/** `GET /v1/requests/{id}`: what became of a request. */
+/** Status query for a request: `GET /v1/requests/{id}`. */
 struct RequestQuestion {
     AccountId account;
     CallerRequestId id;
     std::string keyHash;
 };
 
+/** A request, a status query, or the refusal of an invalid request. */
 using ParsedRequest = std::variant<node::CallerRequest, RequestQuestion, node::Reply>;
 
-/** @return The request, the question, or the refusal of what is neither. */
+/** @return The request or status query, or the refusal if `raw` is neither. */
 [[nodiscard]] ParsedRequest parseRequest(RawRequest raw);
 
-/** @return Whether the text can be a caller's request id. */
+/** @return Whether the text is a valid caller's request id. */
 [[nodiscard]] bool isRequestId(std::string_view text) noexcept;
 
 } // namespace swiftlift::transport
--- a/include/swiftlift/transport/StreamServer.h
+++ b/include/swiftlift/transport/StreamServer.h
@@ -16,65 +16,80 @@
 
 namespace swiftlift::transport {
 
-/** From here on a new core gives the orders; what an earlier one left open is ended. */
+/** Starts a new incarnation of the core: attempts that an earlier incarnation left open are cancelled. */
 struct BeginIncarnation {
     Incarnation incarnation;
 };
 
-/** What the decision thread asks of the streams thread. */
+/** Command from the decision thread to the streams thread. */
 using StreamCommand = std::variant<node::Dispatch, node::CancelAttempt, node::Reply, node::OperatorReply,
     BeginIncarnation, node::ProxyDispatch, node::ProxyFailureReply, node::AnnounceReadiness, node::SetCallerLimits>;
 
-/** Bit that tells callers' questions from operators'. */
+/** Bit that is set in the number of a caller's status query and clear in that of an operator's query. */
 inline constexpr std::uint64_t callersQuestion = std::uint64_t { 1 } << 63U;
 
+/** Ring of commands to the streams thread. */
 using StreamInbox = ring::Inbox<StreamCommand>;
 
-/** Bounds of callers' and backend servers' connections. */
+/** Size and time limits of callers' and backend servers' connections. */
 struct StreamLimits {
+    /** Maximum number of open callers' connections. */
     std::size_t connections = 4096;
-    /** Callers' connections that the system keeps until they are accepted; 0: as many as it can. */
+    /** Length of the listening socket's accept queue, in connections; 0: the operating system's maximum. */
     int acceptBacklog = 0;
+    /** Maximum size of a request's body. */
     std::size_t bodyBytes = 1024 * 1024;
+    /** Maximum size of a request's header. */
     std::uint32_t headerBytes = 16 * 1024;
-    /** Bytes of a caller's next request that are taken in while its present one is in progress. */
+    /** Maximum number of bytes that are read from a caller while its current request is in progress. */
     std::size_t readAheadBytes = 64 * 1024;
-    /** Unsent bytes of a caller above which its backend server isn't read, and below which it is again. */
+    /**
+     * Reading from the backend server pauses while more than `pauseAboveBytes` are unsent to its caller, and resumes
+     * once fewer than `resumeBelowBytes` are.
+     */
     std::size_t pauseAboveBytes = 64 * 1024;
     std::size_t resumeBelowBytes = 16 * 1024;
-    /** Of a whole answer: the text collected, or a plain service's body. */
+    /** Maximum size of an unstreamed answer: of the collected text, or of a plain service's body. */
     std::size_t answerBytes = 4 * 1024 * 1024;
+    /** Maximum size of one line or event of a backend server's streamed answer. */
     std::size_t lineBytes = 64 * 1024;
+    /** Maximum number of idle connections that are kept per backend server. */
     std::size_t idlePerBackend = 32;
+    /** Timeout for receiving a request's header, from its first byte. */
     std::chrono::milliseconds headerTime { 10'000 };
+    /** Timeout for receiving a request's body, from the end of its header. */
     std::chrono::milliseconds bodyTime { 10'000 };
+    /** Time after which a caller's connection without a request is closed. */
     std::chrono::milliseconds idleTime { 60'000 };
-    /** A caller that takes no byte for that long is taken for gone. */
+    /** A caller that accepts no byte for this time counts as disconnected. */
     std::chrono::milliseconds writeStallTime { 30'000 };
+    /** Timeout for connecting to a backend server. */
     std::chrono::milliseconds connectTime { 1'000 };
+    /** Time after which an idle connection to a backend server is closed. */
     std::chrono::milliseconds backendIdleTime { 30'000 };
-    /** Idle for no longer than this, a kept connection may also carry what may run only once. */
+    /** Maximum idle time of a kept connection that may carry a request which must not run twice. */
     std::chrono::milliseconds freshIdleTime { 1'000 };
-    /** Of a dispatch that names no limit of its own. */
+    /** Maximum silence of a backend server, for a dispatch that sets no limit. */
     std::chrono::milliseconds defaultSilence { 30'000 };
-    /** Events that may wait for the decision thread before new requests are refused; 0: as many as its ring holds. */
+    /** Number of events queued for the decision thread above which new requests are refused; 0: the ring's size. */
     std::size_t maxDecisionsWaiting = 0;
-    /** The streams thread may be late by so much before new requests are refused; zero: by any time. */
+    /** Lag of the streams thread above which new requests are refused; zero: no limit. */
     std::chrono::milliseconds maxLag { 0 };
-    /** What the VM's link carries each way; 0: not known. */
+    /** Capacity of the VM's network link in each direction; 0: unknown. */
     std::uint64_t linkBytesPerSecond = 0;
+    /** Time that the core has to answer a caller's status query. */
     std::chrono::milliseconds operatorTime { 2'000 };
-    /** Shortest time between two reports of one attempt's progress. */
+    /** Minimum interval between two progress reports of one attempt. */
     std::chrono::milliseconds progressInterval { 100 };
-    /** Streams are read together, so long apart, after their first event; zero: each as its events come. */
+    /** Interval at which streams are read in batches, after their first event; zero: each is read as data arrives. */
     std::chrono::milliseconds readInterval { 0 };
-    /** With so many requests at backend servers and more, the loop looks at its sockets only `gatherTime` apart. */
+    /** Number of requests at backend servers from which on the loop polls its sockets only every `gatherTime`. */
     std::size_t gatherFrom = 0;
-    /** Zero: it looks whenever something comes. */
+    /** Interval between two polls of the sockets under load; zero: sockets are handled as soon as they are ready. */
     std::chrono::milliseconds gatherTime { 0 };
 };
 
-/** Is told what callers wait for. Called in the streams thread; must not block. */
+/** Receives the token latencies that callers see. Called in the streams thread; must not block. */
 class StreamObserver {
 public:
     StreamObserver() = default;
@@ -82,37 +97,49 @@
     StreamObserver(const StreamObserver&) = delete;
     StreamObserver& operator=(const StreamObserver&) = delete;
 
+    /** @param sinceArrival Time from the request's arrival to its first token. */
     virtual void firstToken(std::chrono::microseconds sinceArrival) = 0;
+    /** @param gap Time between two successive tokens of one request. */
     virtual void betweenTokens(std::chrono::microseconds gap) = 0;
 };
 
-/** What has happened in the streams thread since its start; for metrics and tests. */
+/** Counters since the start of the streams thread, and current table sizes; for metrics and tests. */
 struct StreamCounts {
+    /** Answers, or lines of answers, that didn't belong to the request. */
     std::uint64_t foreignLines = 0;
+    /** Times that reading from a backend server was paused for a slow caller. */
     std::uint64_t pauses = 0;
+    /** New connections to backend servers. */
     std::uint64_t backendConnects = 0;
+    /** Attempts that reused a kept connection. */
     std::uint64_t backendReuses = 0;
+    /** Requests and connections refused under overload. */
     std::uint64_t overloaded = 0;
-    /** Requests whose callers had left before they were read. */
+    /** Requests whose callers had disconnected before the requests were read. */
     std::uint64_t leftUnread = 0;
+    /** Open callers' connections. */
     std::size_t connections = 0;
+    /** Running attempts. */
     std::size_t attempts = 0;
+    /** Requests in progress. */
     std::size_t calls = 0;
-    /** Most unsent bytes that one caller ever had. */
+    /** Largest number of unsent bytes that a single caller's connection has had. */
     std::size_t mostUnsentBytes = 0;
 };
 
 /**
- * @brief The streams thread: callers' HTTP, and the backend servers' side of the same streams.
+ * @brief Runs the streams thread: HTTP connections of callers and of the backend servers that answer them.
  *
- * One thread and one loop, because both ends of a stream have to agree on every token: what the caller has, when to
- * stop reading for a slow one, when to let go. See docs/TRANSPORT.md.
+ * One thread with one event loop serves both ends of each stream, so that both have the same state for every token:
+ * which tokens the caller has received, when reading pauses for a slow caller, when the attempt is cancelled. See
+ * docs/TRANSPORT.md.
  */
 class StreamServer {
 public:
     /**
-     * What is given by reference outlives the server.
-     * @param dialect Set: requests are passed on as they came. Null: the project's own protocol is spoken.
+     * Objects passed by reference must outlive the server.
+     * @param dialect Set: requests are proxied unchanged, with this dialect's headers. Null: callers and backend
+     * servers use the project's own protocol.
      */
     StreamServer(StreamLimits limits, DecisionInbox& decisions, StreamObserver& observer, logging::JsonLog& log,
         std::shared_ptr<const ProxyDialect> dialect = nullptr);
@@ -120,23 +147,32 @@
     StreamServer(const StreamServer&) = delete;
     StreamServer& operator=(const StreamServer&) = delete;
 
-    /** @return Whether the address could be taken; else see lastReason(). Port 0 takes a free one. */
+    /**
+     * @brief Listens for callers.
+     * @param endpoint Address to bind; port 0 selects a free port.
+     * @return False if the address could not be bound; lastReason() then gives the reason.
+     */
     [[nodiscard]] bool listen(const Endpoint& endpoint);
-    /** @brief As listen(), for whoever asks whether this VM may be sent callers. */
+    /** @brief Like listen(), for the load balancer's readiness checks. */
     [[nodiscard]] bool listenReadiness(const Endpoint& endpoint);
+    /** @return Why the last listen() or listenReadiness() failed. */
     [[nodiscard]] const std::string& lastReason() const noexcept;
-    /** @return The port that is listened on. */
+    /** @return The port on which callers are accepted. */
     [[nodiscard]] std::uint16_t port() const;
 
+    /** Starts the thread. */
     void start();
 
-    /** Accepts no more, waits until callers have what was written for them, but no longer than `limit`, then ends. */
+    /**
+     * @brief Stops accepting connections, waits until pending answers are written, then ends the thread.
+     * @param limit Maximum wait for the pending answers.
+     */
     void stop(std::chrono::milliseconds limit);
 
-    /** @return The ring of this thread. */
+    /** @return The ring of commands to this thread. */
     [[nodiscard]] StreamInbox& inbox() noexcept;
 
-    /** @return The counts as of a moment ago; from any thread. */
+    /** @return A recent copy of the counters; callable from any thread. */
     [[nodiscard]] StreamCounts counts() const;
 
 private:
--- a/include/swiftlift/transport/TaggedEvent.h
+++ b/include/swiftlift/transport/TaggedEvent.h
@@ -9,22 +9,23 @@
 namespace swiftlift::transport {
 
 /**
- * @brief An event, and the incarnation whose action it answers.
+ * @brief An event, with the incarnation of the core whose action caused it.
  *
- * When a retired core is replaced by a new one in place, events that answer the old one are still on their way, and
- * the numbers of attempts start anew. Such an event, taken for one of the new core, would end the wrong attempt. The
- * decision thread therefore drops events of another incarnation. Events that answer no action name nobody.
+ * When a new core replaces a retired one in the same process, events caused by the old core may still be queued, and
+ * attempt numbers restart. If the new core handled such an event, it would end the wrong attempt. The decision thread
+ * therefore drops events of other incarnations. Events that no action caused have a default `incarnation`.
  */
 struct TaggedEvent {
     Incarnation incarnation;
     node::Event event;
 };
 
-/** The ring of the decision thread. */
+/** Ring of events to the decision thread. */
 using DecisionInbox = ring::Inbox<TaggedEvent>;
 
-/** Places in that ring that callers' new requests leave to everything else. */
+/** Slots of the ring that new requests of callers leave free for all other events. */
 inline constexpr std::size_t reservedEvents = 1024;
+/** Number of slots in the ring. */
 inline constexpr std::size_t decisionRingCapacity = 8192;
 
 } // namespace swiftlift::transport
