--- a/include/swiftlift/transport/CallerText.h
+++ b/include/swiftlift/transport/CallerText.h
@@ -11,7 +11,7 @@
 // JSON texts that are sent to callers, see docs/PROTOCOLS.md section 1.
 
 /** An answer's text, as collected so far, and its token counts. */
-struct WholeAnswer {
+struct CollectedAnswer {
     std::string text;
     Tokens promptTokens;
     Tokens answerTokens;
@@ -23,7 +23,7 @@
  * @return The answer as JSON.
  */
 [[nodiscard]] std::string answeredText(
-    std::string_view requestId, const WholeAnswer& answer, Tokens billed, bool withText);
+    std::string_view requestId, const CollectedAnswer& answer, Tokens billed, bool withText);
 
 /** @return The JSON of a refusal, or of an unknown outcome. */
 [[nodiscard]] std::string notAnsweredText(std::string_view requestId, const node::Reply& reply);
--- a/src/transport/AnswerReader.cpp
+++ b/src/transport/AnswerReader.cpp
@@ -54,21 +54,21 @@
             return broken("a line of the answer is too long");
         }
         if (newline == std::string_view::npos) {
-            return ReadState::More;
+            return ReadState::Incomplete;
         }
         const std::string line = std::exchange(partial_, {});
         bytes.remove_prefix(newline + 1);
-        if (const ReadState state = handleLine(line); state != ReadState::More) {
+        if (const ReadState state = handleLine(line); state != ReadState::Incomplete) {
             return state;
         }
     }
-    return ReadState::More;
+    return ReadState::Incomplete;
 }
 
 ReadState ModelAnswerReader::handleLine(std::string_view line)
 {
     if (line.empty()) {
-        return ReadState::More;
+        return ReadState::Incomplete;
     }
     auto matched = matcher_.match(line);
     if (auto* token = std::get_if<TokenLine>(&matched)) {
@@ -82,9 +82,9 @@
         return broken(wrong->reason);
     } else if (const auto* done = std::get_if<DoneLine>(&matched)) {
         counts_ = *done;
-        return ReadState::Whole;
+        return ReadState::Complete;
     }
-    return ReadState::More;
+    return ReadState::Incomplete;
 }
 
 ReadState ModelAnswerReader::end() { return broken("the answer ended before its last line"); }
@@ -98,7 +98,7 @@
 ReadState PlainAnswerReader::parseBody(std::string_view bytes)
 {
     body_ += bytes;
-    return body_.size() > maxBytes_ ? broken("the answer is too large") : ReadState::More;
+    return body_.size() > maxBytes_ ? broken("the answer is too large") : ReadState::Incomplete;
 }
 
 ReadState PlainAnswerReader::end()
@@ -107,7 +107,7 @@
         return broken("the answer is not JSON");
     }
     sink_.part(std::move(body_));
-    return ReadState::Whole;
+    return ReadState::Complete;
 }
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/AnswerReader.h
+++ b/src/transport/AnswerReader.h
@@ -24,7 +24,7 @@
 };
 
 /** Whether an answer is incomplete, complete or invalid. */
-enum class ReadState : std::uint8_t { More, Whole, Broken };
+enum class ReadState : std::uint8_t { Incomplete, Complete, Broken };
 
 /** How an attempt ended. */
 enum class AttemptResult : std::uint8_t {
--- a/src/transport/Attempt.cpp
+++ b/src/transport/Attempt.cpp
@@ -276,7 +276,7 @@
 {
     if (state == ReadState::Broken) {
         end(AttemptResult::Broken, reader_->lastReason());
-    } else if (state == ReadState::Whole) {
+    } else if (state == ReadState::Complete) {
         end(reader_->result(), {});
     }
 }
--- a/src/transport/Call.h
+++ b/src/transport/Call.h
@@ -65,7 +65,7 @@
     std::chrono::steady_clock::time_point arrived_;
     std::chrono::steady_clock::time_point lastToken_;
     std::shared_ptr<CallerConnection> caller_;
-    WholeAnswer answer_;
+    CollectedAnswer answer_;
 };
 
 } // namespace swiftlift::transport::internal
--- a/src/transport/CallerText.cpp
+++ b/src/transport/CallerText.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-std::string answeredText(std::string_view requestId, const WholeAnswer& answer, Tokens billed, bool withText)
+std::string answeredText(std::string_view requestId, const CollectedAnswer& answer, Tokens billed, bool withText)
 {
     Json json;
     json["outcome"] = "answered";
--- a/src/transport/ProxyAnswerReaders.cpp
+++ b/src/transport/ProxyAnswerReaders.cpp
@@ -53,7 +53,7 @@
 ReadState ProxyAnswerReader::collect(std::string_view bytes)
 {
     body_ += bytes;
-    return body_.size() > expected_.maxBodyBytes ? broken("the answer is too large") : ReadState::More;
+    return body_.size() > expected_.maxBodyBytes ? broken("the answer is too large") : ReadState::Incomplete;
 }
 
 AttemptResult ProxyWholeReader::result() const { return success() ? AttemptResult::Completed : AttemptResult::Failed; }
@@ -88,11 +88,11 @@
     }
     splitter_.add(bytes);
     while (auto event = splitter_.next()) {
-        if (const ReadState state = handleEvent(std::move(*event)); state != ReadState::More) {
+        if (const ReadState state = handleEvent(std::move(*event)); state != ReadState::Incomplete) {
             return state;
         }
     }
-    return splitter_.tooLarge() ? broken("event of the answer is too large") : ReadState::More;
+    return splitter_.tooLarge() ? broken("event of the answer is too large") : ReadState::Incomplete;
 }
 
 ReadState ProxyEventReader::handleEvent(StreamEvent&& event)
@@ -103,7 +103,7 @@
     // A resuming engine may begin some events before the requested one; the caller already has those.
     if (last_ && *event.id <= *last_) {
         sink_.matchingLine();
-        return ReadState::More;
+        return ReadState::Incomplete;
     }
     if (last_ && *event.id != *last_ + 1) {
         return broken("event " + std::to_string(*event.id) + " comes after " + std::to_string(*last_));
@@ -111,7 +111,7 @@
     last_ = event.id;
     sink_.part(std::move(event.bytes));
     sink_.matchingLine();
-    return ReadState::More;
+    return ReadState::Incomplete;
 }
 
 ReadState ProxyEventReader::end()
@@ -119,7 +119,7 @@
     if (events_ && splitter_.partial()) {
         return broken("the stream ended within an event");
     }
-    return ReadState::Whole;
+    return ReadState::Complete;
 }
 
 AttemptResult ProxyEventReader::result() const { return events_ ? AttemptResult::Completed : AttemptResult::Failed; }
--- a/src/transport/ProxyAnswerReaders.h
+++ b/src/transport/ProxyAnswerReaders.h
@@ -63,7 +63,7 @@
     using ProxyAnswerReader::ProxyAnswerReader;
 
     [[nodiscard]] ReadState parseBody(std::string_view bytes) override { return collect(bytes); }
-    [[nodiscard]] ReadState end() override { return ReadState::Whole; }
+    [[nodiscard]] ReadState end() override { return ReadState::Complete; }
     [[nodiscard]] AttemptResult result() const override;
 };
 
--- a/tests/transport/StreamFixture.h
+++ b/tests/transport/StreamFixture.h
@@ -91,7 +91,7 @@
         sendCommand(reply);
     }
 
-    [[nodiscard]] static std::string streamHead() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
+    [[nodiscard]] static std::string answerHead() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
 
     [[nodiscard]] static std::string chunkOf(const std::string& line)
     {
--- a/tests/transport/StreamServerTest.cpp
+++ b/tests/transport/StreamServerTest.cpp
@@ -24,7 +24,7 @@
     EXPECT_EQ(backendRequest["X-Attempt-Id"], attemptText(1));
     const auto& key = arrived.request.key;
     EXPECT_EQ(backendRequest["X-Request-Key"], toHex(key));
-    engine.write(streamHead() + line(key, attemptText(1), 0, "a") + line(key, attemptText(1), 1, "b")
+    engine.write(answerHead() + line(key, attemptText(1), 0, "a") + line(key, attemptText(1), 1, "b")
         + done(key, attemptText(1), 2));
     const auto ended = nextEvent<AttemptEnded>(decisions);
     EXPECT_EQ(ended.end, AttemptEnd::Completed);
@@ -47,7 +47,7 @@
     auto engine = backend.accept();
     static_cast<void>(engine.readRequest());
     const auto& key = arrived.request.key;
-    engine.write(streamHead() + line(key, attemptText(1), 0, "a"));
+    engine.write(answerHead() + line(key, attemptText(1), 0, "a"));
     EXPECT_NE(client.readUntil(R"({"token":"a","index":0})").find("200 OK"), std::string::npos);
     EXPECT_EQ(nextEvent<node::AttemptProgress>(decisions).answerTokens, Tokens(1));
     engine.write(line(key, attemptText(1), 1, "b") + done(key, attemptText(1), 2));
@@ -91,7 +91,7 @@
     static_cast<void>(engine.readRequest());
     const auto& key = arrived.request.key;
     const RequestKey other { 1, 2 };
-    engine.write(streamHead() + line(other, attemptText(2), 0, "theirs") + line(key, attemptText(1), 0, "late")
+    engine.write(answerHead() + line(other, attemptText(2), 0, "theirs") + line(key, attemptText(1), 0, "late")
         + done(other, attemptText(2), 1).substr(0, done(other, attemptText(2), 1).size() - 5)
         + line(key, attemptText(2), 0, "mine") + chunkOf("no JSON\n") + done(key, attemptText(2), 1));
     EXPECT_EQ(nextEvent<AttemptEnded>(decisions).end, AttemptEnd::Completed);
@@ -117,7 +117,7 @@
         auto engine = backend.accept();
         static_cast<void>(engine.readRequest());
         const auto& key = arrived.request.key;
-        engine.write(streamHead() + line(key, attemptText(attempt), 0, "a")
+        engine.write(answerHead() + line(key, attemptText(attempt), 0, "a")
             + (inLastLine ? done(key, attemptText(attempt), 2) : line(key, attemptText(attempt), 2, "c")));
         const auto ended = nextEvent<AttemptEnded>(decisions);
         EXPECT_EQ(ended.end, AttemptEnd::Broken);
@@ -138,7 +138,7 @@
     {
         auto engine = backend.accept();
         static_cast<void>(engine.readRequest());
-        engine.write(streamHead() + line(key, attemptText(1), 0, "a") + line(key, attemptText(1), 1, "b"));
+        engine.write(answerHead() + line(key, attemptText(1), 0, "a") + line(key, attemptText(1), 1, "b"));
         static_cast<void>(client.readUntil(R"("index":1})"));
     }
     const auto broken = nextEvent<AttemptEnded>(decisions);
@@ -147,7 +147,7 @@
     dispatch(arrived, 2, 2);
     auto engine = backend.accept();
     EXPECT_EQ(engine.readRequest()["X-Resume-From"], "2");
-    engine.write(streamHead() + line(key, attemptText(2), 0, "a") + line(key, attemptText(2), 1, "b")
+    engine.write(answerHead() + line(key, attemptText(2), 0, "a") + line(key, attemptText(2), 1, "b")
         + line(key, attemptText(2), 2, "c") + done(key, attemptText(2), 3));
     EXPECT_EQ(nextEvent<AttemptEnded>(decisions).answerTokens, Tokens(3));
     replyAnswered(arrived.call);
@@ -168,7 +168,7 @@
     dispatch(arrived, 1);
     auto engine = backend.accept();
     static_cast<void>(engine.readRequest());
-    engine.write(streamHead() + line(arrived.request.key, attemptText(1), 0, "a"));
+    engine.write(answerHead() + line(arrived.request.key, attemptText(1), 0, "a"));
     static_cast<void>(client.readUntil(R"("index":0})"));
     client.close();
     EXPECT_EQ(nextEvent<node::CallerDisconnected>(decisions).call, arrived.call);
@@ -193,7 +193,7 @@
     const auto& key = arrived.request.key;
     const auto writer = std::async(std::launch::async, [&] {
         const std::string token(1000, 'x');
-        engine.write(streamHead());
+        engine.write(answerHead());
         for (int index = 0; index < tokens; ++index) {
             engine.write(line(key, attemptText(1), index, token));
         }
@@ -286,7 +286,7 @@
         }
         const auto backendRequest = engine->readRequest();
         const auto& key = arrived.request.key;
-        engine->write(streamHead() + line(key, attemptText(attempt), 0, "a") + done(key, attemptText(attempt), 1));
+        engine->write(answerHead() + line(key, attemptText(attempt), 0, "a") + done(key, attemptText(attempt), 1));
         static_cast<void>(nextEvent<AttemptEnded>(decisions));
         replyAnswered(arrived.call);
         EXPECT_EQ(client.readResponse().result_int(), 200U);
