--- a/apps/router/CoreDecider.cpp
+++ b/apps/router/CoreDecider.cpp
@@ -23,32 +23,37 @@
 
 namespace {
 
-    /** The platform's entry asks once a second and sends no more callers after two misses. */
-    constexpr Duration entryNotices = std::chrono::milliseconds(2500);
-    /** Of others' records, which are read for nobody who waits: a holder reads back what it drew, and a witness what it
-     * is asked about, without it. Three calls a second in place of nine; a signal that money is short is still read
-     * within the 400 ms that the holder that sent it waits for an answer. */
+    /** Time after which the platform's entry no longer sends callers to a router that reports not ready: the entry
+     * polls readiness once a second and stops after two failed polls. */
+    constexpr Duration entryDetectionTime = std::chrono::milliseconds(2500);
+    /** Pause between two reads of other routers' ledger records. No request waits for these reads: a holder reads back
+     * its own draws, and a witness the records that it is asked about, without this pause. The pause reduces the reads
+     * from nine to three a second. A message that a budget is short of tokens is still read within the 400 ms for which
+     * the holder that sent it waits for an answer. */
     constexpr Duration ledgerReadPause = std::chrono::milliseconds(300);
-    /** No caller waits for a copy there; a router that dies loses so much of its bills to its grant's end. */
+    /** Time for which ledger items are collected before they are copied to the witness. No caller waits for a copy in
+     * the platform's dialect. If a router crashes, its bills of up to this time are lost when its grant is closed. */
     constexpr Duration copyPeriod = std::chrono::milliseconds(250);
-    /** Of the log's retention: the newest checkpoint is younger, also where several routers miss their turns. */
+    /** Number of checkpoint intervals in the log's retention. The newest checkpoint then stays younger than the
+     * retention even if several routers in succession fail to write theirs. */
     constexpr int checkpointsInRetention = 10;
-    constexpr Duration longestCheckpointInterval = std::chrono::seconds(2);
-    /** Attempts have ids of their own there, so no bill ever comes twice under one key. */
-    constexpr std::size_t keysRemembered = 64;
+    constexpr Duration maxCheckpointInterval = std::chrono::seconds(2);
+    /** Number of bill keys that are kept to detect duplicate bills. Few suffice: in the platform's dialect each attempt
+     * has its own id, so two bills never have the same key. */
+    constexpr std::size_t maxBillKeys = 64;
 
-    double seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
+    double toSeconds(Duration time) { return std::chrono::duration<double>(time).count(); }
 
-    void speakPlatform(const settings::RouterSettings& settings, node::CoreSettings& core)
+    void applyPlatformSettings(const settings::RouterSettings& settings, node::CoreSettings& core)
     {
         core.fleetCodec = std::make_shared<platform::ConfigCodec>();
         core.ledger.checkpoints = node::CheckpointPlace::SeparateStream;
         core.ledger.checkpointInterval
-            = std::min<Duration>(settings.ledger.retention / checkpointsInRetention, longestCheckpointInterval);
+            = std::min<Duration>(settings.ledger.retention / checkpointsInRetention, maxCheckpointInterval);
         core.ledger.readPause = ledgerReadPause;
         core.ledger.copyPeriod = copyPeriod;
-        core.ledger.keysRemembered = keysRemembered;
-        core.stopAcceptance = entryNotices;
+        core.ledger.keysRemembered = maxBillKeys;
+        core.stopAcceptance = entryDetectionTime;
     }
 
 } // namespace
@@ -69,14 +74,14 @@
     core.preallocationPercent = settings.ledger.preallocationPercent;
     if (settings.ledger.highWatermark > Duration::zero()) {
         core.watermarks
-            = ledger::Watermarks { seconds(settings.ledger.lowWatermark), seconds(settings.ledger.highWatermark) };
+            = ledger::Watermarks { toSeconds(settings.ledger.lowWatermark), toSeconds(settings.ledger.highWatermark) };
     }
     if (settings.ledger.batchPeriod > Duration::zero()) {
         core.ledger.batchPeriod = settings.ledger.batchPeriod;
     }
     core.retries = { settings.retries.ratio, settings.retries.extra, settings.retries.window };
     if (settings.dialect == settings::SpokenDialect::Platform) {
-        speakPlatform(settings, core);
+        applyPlatformSettings(settings, core);
     }
     return core;
 }
--- a/apps/router/CoreDecider.h
+++ b/apps/router/CoreDecider.h
@@ -6,7 +6,7 @@
 
 namespace swiftlift::router {
 
-/** The decision core, behind the interface that the decision thread drives. */
+/** Adapts the decision core, node::Core, to the interface that the decision thread calls. */
 class CoreDecider : public transport::Decider {
 public:
     explicit CoreDecider(node::CoreSettings settings);
@@ -18,7 +18,12 @@
     node::Core core_;
 };
 
-/** @return What the core is told at its start. */
+/**
+ * @brief Converts the settings of a router to the settings of its decision core.
+ * @param incarnation Incarnation under which the core starts.
+ * @param seed Seed of the core's random numbers.
+ * @return The settings that the core is constructed with.
+ */
 [[nodiscard]] node::CoreSettings toCoreSettings(
     const settings::RouterSettings& settings, Incarnation incarnation, std::uint64_t seed);
 
--- a/apps/router/Main.cpp
+++ b/apps/router/Main.cpp
@@ -14,8 +14,8 @@
 using swiftlift::Findings;
 using swiftlift::router::CommandLine;
 
-constexpr int exitFine = 0;
-constexpr int exitFailed = 1;
+constexpr int exitSuccess = 0;
+constexpr int exitFailure = 1;
 constexpr int exitUsage = 2;
 constexpr const char* version = "0.1.0";
 
@@ -27,8 +27,13 @@
 }
 
 /**
- * Signals are taken by the main thread alone: blocked here, before any other thread exists. One that nobody takes, such
- * as the hang-up that tells of changed settings, would end the process and every stream in it.
+ * @brief Blocks SIGTERM, SIGINT and SIGHUP, and ignores SIGPIPE.
+ *
+ * Called before any other thread is started, so that all threads inherit the mask and only the main thread receives the
+ * signals, by sigtimedwait(). The default action of an unblocked signal, such as the SIGHUP that announces changed
+ * settings, would end the process and all its streams.
+ *
+ * @return The blocked signals.
  */
 sigset_t blockSignals()
 {
@@ -42,22 +47,22 @@
     return signals;
 }
 
-/** Notices that a file was written anew; its writer need not send a signal. */
+/** Detects changes of a file by its modification time, so that the writer of the file need not send a signal. */
 class WatchedFile {
 public:
     explicit WatchedFile(std::string path)
         : path_(std::move(path))
-        , seen_(lastWrite())
+        , lastSeenWrite_(lastWrite())
     {
     }
 
     [[nodiscard]] const std::string& path() const noexcept { return path_; }
 
-    /** @return Whether it has changed since the last call. */
-    [[nodiscard]] bool changed()
+    /** @return Whether the file was modified since the last call, or since construction. */
+    [[nodiscard]] bool takeChanged()
     {
         const auto now = lastWrite();
-        return std::exchange(seen_, now) != now;
+        return std::exchange(lastSeenWrite_, now) != now;
     }
 
 private:
@@ -68,9 +73,10 @@
     }
 
     std::string path_;
-    std::filesystem::file_time_type seen_;
+    std::filesystem::file_time_type lastSeenWrite_;
 };
 
+/** Applies the settings in the file to the running router; settings in force stay if the file is invalid. */
 void reload(swiftlift::router::RouterProcess& router, const std::string& file)
 {
     Findings findings;
@@ -81,22 +87,23 @@
     }
 }
 
-/** Waits until the process is asked to end. */
-void serve(swiftlift::router::RouterProcess& router, const sigset_t& signals, WatchedFile& file)
+/** Reloads changed settings until SIGTERM or SIGINT arrives. */
+void runUntilStopSignal(swiftlift::router::RouterProcess& router, const sigset_t& signals, WatchedFile& file)
 {
-    const timespec fileCheck { 2, 0 };
+    const timespec fileCheckInterval { 2, 0 };
     for (;;) {
-        const int signal = sigtimedwait(&signals, nullptr, &fileCheck);
+        const int signal = sigtimedwait(&signals, nullptr, &fileCheckInterval);
         if (signal == SIGTERM || signal == SIGINT) {
             return;
         }
-        const bool changed = file.changed();
+        const bool changed = file.takeChanged();
         if (signal == SIGHUP || changed) {
             reload(router, file.path());
         }
     }
 }
 
+/** @return Exit status of the process. */
 int run(const swiftlift::settings::RouterSettings& settings, const std::string& settingsFile)
 {
     const sigset_t signals = blockSignals();
@@ -104,13 +111,13 @@
     swiftlift::router::RouterProcess router(settings, seed);
     if (const auto findings = router.listen(); !findings.empty()) {
         print(findings);
-        return exitFailed;
+        return exitFailure;
     }
     router.start();
     WatchedFile file(settingsFile);
-    serve(router, signals, file);
+    runUntilStopSignal(router, signals, file);
     router.stop();
-    return exitFine;
+    return exitSuccess;
 }
 
 } // namespace
@@ -124,11 +131,11 @@
     }
     if (line->task == CommandLine::Task::Help) {
         std::cout << swiftlift::router::helpText();
-        return exitFine;
+        return exitSuccess;
     }
     if (line->task == CommandLine::Task::Version) {
         std::cout << "swiftlift-router " << version << "\n";
-        return exitFine;
+        return exitSuccess;
     }
     Findings findings;
     const auto settings = swiftlift::settings::readRouterSettings(line->settingsFile, findings);
@@ -136,5 +143,5 @@
         print(findings);
         return exitUsage;
     }
-    return line->task == CommandLine::Task::Check ? exitFine : run(*settings, line->settingsFile);
+    return line->task == CommandLine::Task::Check ? exitSuccess : run(*settings, line->settingsFile);
 }
--- a/apps/router/RouterProcess.cpp
+++ b/apps/router/RouterProcess.cpp
@@ -17,45 +17,52 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto operatorLimit = 2s;
-    /** For callers to take what is written for them, once everything in progress has ended. */
-    constexpr auto drainLimit = 5s;
-    constexpr auto readyPoll = 20ms;
-    /** On a quarter of a core each tick costs as much as a short request; nothing of the core's needs it more often. */
+    /** Time limit of one call of an operator. */
+    constexpr auto operatorTimeout = 2s;
+    /** Time at most for callers to receive their replies, once all requests in progress have ended. */
+    constexpr auto maxDrainTime = 5s;
+    /** Interval at which stop() checks whether the core is ready to stop. */
+    constexpr auto stopPollInterval = 20ms;
+    /** Tick of the decision thread on a small VM. On a quarter of a CPU core each tick costs as much as a short
+     * request, and nothing in the decision core needs a shorter tick. */
     constexpr Duration smallVmTick = 50ms;
-    /** A round trip within a region takes 3 ms, and a lost opening packet is sent again after a second: what has not
-     * connected by then is better sought elsewhere. */
-    constexpr auto backendConnectTime = 200ms;
-    /** At about 1 ms a decision on a quarter of a core, a tenth of a second's work: a third of the shortest objective.
-     */
+    /** A round trip within a region takes 3 ms, and a lost SYN packet is sent again only after a second: a connection
+     * that is not open after this time is better tried at another backend server. */
+    constexpr auto backendConnectTimeout = 200ms;
+    /** Events queued for the decision thread beyond which new requests are refused. At about 1 ms a decision on a
+     * quarter of a CPU core, they take a tenth of a second: a third of the shortest latency objective. */
     constexpr std::size_t maxDecisionsWaiting = 100;
-    /** As long again in the sockets. */
+    /** Delay of the streams thread beyond which new requests are refused: as long as the queued decisions take. */
     constexpr auto maxLag = 100ms;
-    /** A third of the 120 ms within which an event has to be with its caller. */
+    /** Interval between reads of a stream: a third of the 120 ms within which an event has to reach its caller. */
     constexpr auto streamReadInterval = 40ms;
-    /** At 1 ms a request on a tenth of a core, half a second's work: callers wait for a second at most to be read, and
-     * one that finds this VM full asks another VM. */
+    /** Connections that wait to be accepted at most. At 1 ms a request on a tenth of a CPU core, they take half a
+     * second: callers wait at most a second until their request is read, and a caller that finds this VM full uses
+     * another VM. */
     constexpr int acceptBacklog = 64;
     constexpr double bytesPerMegabit = 125'000;
-    /** From here on, packets of answers come faster than one in 4 ms: an event of each stream comes every 20 to 40 ms.
-     */
-    constexpr std::size_t busyAttempts = 8;
-    /** Of the shortest objective, 100 ms, what a request loses by it at each of its four steps is a tenth. */
-    constexpr auto busyGatherTime = 4ms;
-    /** A connection to the log that fell silent has to show before a configuration is overdue, 2 s. */
-    constexpr auto storeWait = 1000ms;
-    constexpr auto storeLimit = 800ms;
-    constexpr auto storeRetry = 100ms;
-    constexpr auto storeRetryMost = 500ms;
-    /** Twelfths of the time that a planned stop is given: for what is in progress, then for callers to take what is
-     * written; the rest is for the threads to end. */
+    /** Attempts in progress from which on the sockets are polled only every readBatchTime. Each stream has an event
+     * every 20 to 40 ms, so with this many streams packets of answers arrive faster than one in 4 ms. */
+    constexpr std::size_t minBatchedAttempts = 8;
+    /** Interval at which the sockets are polled under load. What a request loses by this interval at each of its four
+     * steps is a tenth of the shortest latency objective, 100 ms. */
+    constexpr auto readBatchTime = 4ms;
+    /** Long poll of the log. A dead connection to the log has to be detected before a configuration is overdue, after
+     * 2 s. */
+    constexpr auto logPollWait = 1000ms;
+    /** Timeout of one read from or append to the log. */
+    constexpr auto logCallTimeout = 800ms;
+    constexpr auto firstLogRetryDelay = 100ms;
+    constexpr auto maxLogRetryDelay = 500ms;
+    /** Parts that the time limit of a planned stop is divided into: 10 are for requests in progress, 1 is for callers
+     * to receive their replies, and the last is for the threads to end. */
     constexpr int stopParts = 12;
     constexpr int stopPartsInProgress = 10;
     constexpr int stopPartsDraining = 1;
 
-    transport::Endpoint toEndpoint(const settings::Endpoint& text)
+    transport::Endpoint toEndpoint(const settings::Endpoint& endpoint)
     {
-        return transport::parseEndpoint(text.value()).value_or(transport::Endpoint {});
+        return transport::parseEndpoint(endpoint.value()).value_or(transport::Endpoint {});
     }
 
     logging::JsonLogSettings toLogSettings(const settings::RouterSettings& settings)
@@ -67,36 +74,36 @@
         return log;
     }
 
-    bool speaksPlatform(const settings::RouterSettings& settings)
+    bool usesPlatformDialect(const settings::RouterSettings& settings)
     {
         return settings.dialect == settings::SpokenDialect::Platform;
     }
 
-    std::shared_ptr<const transport::LogDialect> logDialect(const settings::RouterSettings& settings)
+    std::shared_ptr<const transport::LogDialect> makeLogDialect(const settings::RouterSettings& settings)
     {
-        if (speaksPlatform(settings)) {
+        if (usesPlatformDialect(settings)) {
             return std::make_shared<platform::StoreDialect>();
         }
         return std::make_shared<transport::NativeLogDialect>();
     }
 
-    std::shared_ptr<const transport::ProxyDialect> proxyDialect(const settings::RouterSettings& settings)
+    std::shared_ptr<const transport::ProxyDialect> makeProxyDialect(const settings::RouterSettings& settings)
     {
-        return speaksPlatform(settings) ? std::make_shared<platform::HttpDialect>() : nullptr;
+        return usesPlatformDialect(settings) ? std::make_shared<platform::HttpDialect>() : nullptr;
     }
 
     transport::StreamLimits toStreamLimits(const settings::RouterSettings& settings)
     {
         transport::StreamLimits limits;
-        if (speaksPlatform(settings)) {
-            limits.connectTime = backendConnectTime;
+        if (usesPlatformDialect(settings)) {
+            limits.connectTime = backendConnectTimeout;
             limits.maxDecisionsWaiting = maxDecisionsWaiting;
             limits.maxLag = maxLag;
             limits.acceptBacklog = acceptBacklog;
             limits.linkBytesPerSecond = static_cast<std::uint64_t>(settings.vm.bandwidth * bytesPerMegabit);
             limits.readInterval = streamReadInterval;
-            limits.gatherFrom = busyAttempts;
-            limits.gatherTime = busyGatherTime;
+            limits.gatherFrom = minBatchedAttempts;
+            limits.gatherTime = readBatchTime;
         }
         return limits;
     }
@@ -104,12 +111,12 @@
     transport::LogClientSettings toLogClientSettings(const settings::RouterSettings& settings)
     {
         transport::LogClientSettings client;
-        if (speaksPlatform(settings)) {
-            client.pollWait = storeWait;
-            client.readLimit = storeLimit;
-            client.appendLimit = storeLimit;
-            client.retryFirst = storeRetry;
-            client.retryMost = storeRetryMost;
+        if (usesPlatformDialect(settings)) {
+            client.pollWait = logPollWait;
+            client.readLimit = logCallTimeout;
+            client.appendLimit = logCallTimeout;
+            client.retryFirst = firstLogRetryDelay;
+            client.retryMost = maxLogRetryDelay;
         }
         for (const auto& endpoint : settings.logEndpoints) {
             client.endpoints.push_back(toEndpoint(endpoint));
@@ -140,32 +147,32 @@
     : settings_(settings)
     , seed_(seed)
     , decisions_(transport::decisionRingCapacity)
-    , journal_(toLogSettings(settings))
+    , jsonLog_(toLogSettings(settings))
     , metrics_(traffic_)
-    , streams_(toStreamLimits(settings), decisions_, metrics_, journal_, proxyDialect(settings))
-    , log_(toLogClientSettings(settings), logDialect(settings), decisions_, traffic_)
-    , peers_(toPeerSettings(settings), decisions_, traffic_, journal_)
+    , streams_(toStreamLimits(settings), decisions_, metrics_, jsonLog_, makeProxyDialect(settings))
+    , log_(toLogClientSettings(settings), makeLogDialect(settings), decisions_, traffic_)
+    , peers_(toPeerSettings(settings), decisions_, traffic_, jsonLog_)
     , platform_(toPlatformSettings(settings), decisions_, traffic_)
-    , operators_(decisions_, operatorLimit)
-    , carrier_({ streams_, log_, peers_, platform_, operators_, metrics_, journal_ })
+    , operators_(decisions_, operatorTimeout)
+    , executor_({ streams_, log_, peers_, platform_, operators_, metrics_, jsonLog_ })
     , loop_(
           transport::drawIncarnation(),
           [this](Incarnation incarnation) -> std::unique_ptr<transport::Decider> {
               return std::make_unique<CoreDecider>(toCoreSettings(settings_, incarnation, seed_));
           },
-          decisions_, carrier_, speaksPlatform(settings) ? smallVmTick : transport::DecisionLoop::defaultTick)
+          decisions_, executor_, usesPlatformDialect(settings) ? smallVmTick : transport::DecisionLoop::defaultTick)
 {
 }
 
 Findings RouterProcess::listen()
 {
     Findings findings;
-    const auto check = [&](bool taken, const char* place, const std::string& reason) {
-        if (!taken) {
-            findings.push_back({ place, 0, 0, reason });
+    const auto check = [&](bool succeeded, const char* settingsKey, const std::string& reason) {
+        if (!succeeded) {
+            findings.push_back({ settingsKey, 0, 0, reason });
         }
     };
-    check(journal_.isOpen(), "logging.file", "can't be written to: " + settings_.logging.file);
+    check(jsonLog_.isOpen(), "logging.file", "cannot write to the log file " + settings_.logging.file);
     check(streams_.listen(toEndpoint(settings_.callersListen)), "callers.listen", streams_.lastReason());
     if (!settings_.readinessListen.value().empty()) {
         check(streams_.listenReadiness(toEndpoint(settings_.readinessListen)), "callers.readiness",
@@ -180,13 +187,13 @@
 void RouterProcess::start()
 {
     addReadings();
-    journal_.write(logging::Level::Info, "process_start",
+    jsonLog_.write(logging::Level::Info, "process_start",
         { { "seed", std::to_string(seed_) }, { "callers", settings_.callersListen.value() },
             { "domain", settings_.vm.domain.value() } });
     metrics_.start();
     peers_.start();
     streams_.start();
-    if (!speaksPlatform(settings_)) {
+    if (!usesPlatformDialect(settings_)) {
         platform_.start();
     }
     loop_.start();
@@ -197,35 +204,36 @@
     const auto level = changed.logging.level;
     const bool levelChanged = level != settings_.logging.level;
     settings_.logging.level = level;
-    journal_.setLevel(static_cast<logging::Level>(level));
-    // A listener or the log's address changes with the VM's own: the process then starts anew anyway.
-    const bool placeChanged = changed.vm.peer != settings_.vm.peer || changed.callersListen != settings_.callersListen
+    jsonLog_.setLevel(static_cast<logging::Level>(level));
+    // A listen address or the log's address only changes together with the VM's address, and then the process is
+    // restarted anyway.
+    const bool addressChanged = changed.vm.peer != settings_.vm.peer || changed.callersListen != settings_.callersListen
         || changed.logEndpoints != settings_.logEndpoints;
-    journal_.write(logging::Level::Info, "reload",
+    jsonLog_.write(logging::Level::Info, "reload",
         { { "outcome", std::string("in_force") }, { "level_changed", levelChanged },
-            { "needs_restart", placeChanged } });
+            { "needs_restart", addressChanged } });
 }
 
 void RouterProcess::rejectReload(const Findings& findings)
 {
-    journal_.write(
+    jsonLog_.write(
         logging::Level::Error, "reload", { { "outcome", std::string("rejected") }, { "findings", toText(findings) } });
 }
 
 void RouterProcess::stop()
 {
-    const auto limit = settings_.stopLimit * stopPartsInProgress / stopParts;
-    const auto until = std::chrono::steady_clock::now() + limit;
+    const auto timeLimit = settings_.stopLimit * stopPartsInProgress / stopParts;
+    const auto until = std::chrono::steady_clock::now() + timeLimit;
     transport::TaggedEvent request { Incarnation {}, node::StopRequested {} };
     while (!decisions_.tryPush(request) && std::chrono::steady_clock::now() < until) {
-        std::this_thread::sleep_for(readyPoll);
+        std::this_thread::sleep_for(stopPollInterval);
     }
-    while (!carrier_.stopReady() && std::chrono::steady_clock::now() < until) {
-        std::this_thread::sleep_for(readyPoll);
+    while (!executor_.stopReady() && std::chrono::steady_clock::now() < until) {
+        std::this_thread::sleep_for(stopPollInterval);
     }
-    journal_.write(logging::Level::Info, "process_stop", { { "ready", carrier_.stopReady() } });
-    // The decision thread goes on until the last replies are with the callers.
-    streams_.stop(std::min<std::chrono::milliseconds>(drainLimit,
+    jsonLog_.write(logging::Level::Info, "process_stop", { { "ready", executor_.stopReady() } });
+    // The decision thread runs until the last replies have reached the callers.
+    streams_.stop(std::min<std::chrono::milliseconds>(maxDrainTime,
         std::chrono::duration_cast<std::chrono::milliseconds>(settings_.stopLimit * stopPartsDraining / stopParts)));
     loop_.stop();
     operators_.stop();
@@ -258,7 +266,7 @@
     metrics_.addReading("peer_messages_dropped", "Messages between routers that were dropped here",
         [this] { return static_cast<double>(peers_.dropped()); });
     metrics_.addReading("log_lines_dropped", "Log lines that a slow consumer cost",
-        [this] { return static_cast<double>(journal_.dropped()); });
+        [this] { return static_cast<double>(jsonLog_.dropped()); });
     metrics_.addReading("incarnations_replaced", "Times that this process went on under a new incarnation",
         [this] { return static_cast<double>(loop_.replacements()); });
 }
--- a/apps/router/RouterProcess.h
+++ b/apps/router/RouterProcess.h
@@ -10,39 +10,43 @@
 
 namespace swiftlift::router {
 
-/** All threads of one router, and their order of start and stop. */
+/** Owns all threads of one router, and starts and stops them in order. */
 class RouterProcess {
 public:
+    /** @param seed Seed of the decision core's random numbers. */
     RouterProcess(const settings::RouterSettings& settings, std::uint64_t seed);
 
-    /** Takes all addresses. @return What could not be taken. */
+    /** @brief Opens the log file and binds all listen addresses. @return One finding for each that failed. */
     [[nodiscard]] Findings listen();
 
+    /** @brief Starts all threads. */
     void start();
 
-    /** Takes over what of new settings can change in a running process, and logs what can't. */
+    /** @brief Applies a changed log level, and logs whether other changed settings need a restart. */
     void reload(const settings::RouterSettings& changed);
-    /** New settings can't be read: those in force stay. */
+    /** @brief Logs why changed settings are invalid; the settings in force stay. */
     void rejectReload(const Findings& findings);
 
-    /** Asks the core to stop, waits until it is ready, but no longer than the settings' limit, and ends all threads. */
+    /** @brief Requests the core to stop, waits until it is ready or the stop limit of the settings nears its end, and
+     * stops all threads. */
     void stop();
 
 private:
+    /** @brief Registers the process's metrics that are read on demand. */
     void addReadings();
 
     settings::RouterSettings settings_;
     std::uint64_t seed_;
     transport::ControlTraffic traffic_;
     transport::DecisionInbox decisions_;
-    logging::JsonLog journal_;
+    logging::JsonLog jsonLog_;
     transport::Metrics metrics_;
     transport::StreamServer streams_;
     transport::LogClient log_;
     transport::PeerLinks peers_;
     transport::PlatformClient platform_;
     transport::OperatorServer operators_;
-    transport::ActionExecutor carrier_;
+    transport::ActionExecutor executor_;
     transport::DecisionLoop loop_;
 };
 
