--- a/apps/ctl/Change.cpp
+++ b/apps/ctl/Change.cpp
@@ -13,7 +13,7 @@
         if (reader.catchUp() && landed()) {
             return true;
         }
-    } while (context.patience.pause());
+    } while (context.pollTimer.waitForNextAttempt());
     return false;
 }
 
--- a/apps/ctl/Change.h
+++ b/apps/ctl/Change.h
@@ -5,37 +5,39 @@
 #include <string>
 
 #include "ctl/Log.h"
-#include "ctl/Patience.h"
+#include "ctl/PollTimer.h"
 #include "ctl/Report.h"
 #include "ctl/StreamReader.h"
 
 namespace swiftlift::ctl {
 
-/** What every change needs. */
+/** The log and the retry state that every change is made with. */
 struct ChangeContext {
     Log& log;
-    Patience& patience;
-    /** Identifies the change: random, and the same when the change is asked for again. */
+    PollTimer& pollTimer;
+    /** Identifies the change. Random for a new change; a repeated command passes the id of its first run. */
     std::uint64_t id = 0;
 };
 
 /**
  * @brief Appends a record and reads the stream back until the record is found in it.
  *
- * What goes wrong without the reading back: the answer to an append is lost, the operator takes the change for failed
- * and makes it again; a budget then shows twice the tokens that were paid for. So the same record, with the same id, is
- * appended until it is read back, and the fold counts the id once.
+ * If only the answer to an append counted, an operator would repeat a change whose answer was lost, and a budget would
+ * show twice the tokens that were paid for. So the same record, with the same id, is appended until the log has
+ * acknowledged it, and read until it is found in the stream; the fold counts each id once.
  *
- * @param landed Whether the record has been read back.
- * @return Whether it has been read back before patience ended; if not, it may still land.
+ * @param reader Reads the stream that the record is appended to.
+ * @param record The encoded record.
+ * @param landed Returns true once the reader has found the record in the stream.
+ * @return True if the record was found before the poll timer expired; otherwise the record may still land later.
  */
 [[nodiscard]] bool submit(
     const ChangeContext& context, StreamReader& reader, const std::string& record, const std::function<bool()>& landed);
 
-/** @return The report of a change that was neither admitted nor refused in time. */
+/** @return The report of a change that was not found in the log in time, so that its outcome is unknown. */
 [[nodiscard]] Report unknownReport(const ChangeContext& context, const StreamReader& reader);
 
-/** @return The report of a change that was not sent, because the log could not be read before. */
+/** @return The report of a change that was not sent because reading the log failed first. */
 [[nodiscard]] Report notSentReport(const StreamReader& reader);
 
 } // namespace swiftlift::ctl
--- a/apps/ctl/CommandLine.cpp
+++ b/apps/ctl/CommandLine.cpp
@@ -19,33 +19,35 @@
         SettingsOption = 256,
         JsonOption,
         HelpOption,
-        // From here on in the order of `Option`.
-        FirstSpecial,
+        // The values from here on are in the order of `Option`.
+        FirstCommandOption,
     };
 
-    constexpr std::array<std::string_view, 5> specialNames { "key", "key-file", "author", "id", "expect-revision" };
+    constexpr std::array<std::string_view, 5> commandOptionNames { "key", "key-file", "author", "id",
+        "expect-revision" };
 
     const std::array<option, 9> longOptions { {
         { "settings", required_argument, nullptr, SettingsOption },
         { "json", no_argument, nullptr, JsonOption },
         { "help", no_argument, nullptr, HelpOption },
-        { "key", required_argument, nullptr, FirstSpecial + static_cast<int>(Option::Key) },
-        { "key-file", required_argument, nullptr, FirstSpecial + static_cast<int>(Option::KeyFile) },
-        { "author", required_argument, nullptr, FirstSpecial + static_cast<int>(Option::Author) },
-        { "id", required_argument, nullptr, FirstSpecial + static_cast<int>(Option::Id) },
-        { "expect-revision", required_argument, nullptr, FirstSpecial + static_cast<int>(Option::ExpectRevision) },
+        { "key", required_argument, nullptr, FirstCommandOption + static_cast<int>(Option::Key) },
+        { "key-file", required_argument, nullptr, FirstCommandOption + static_cast<int>(Option::KeyFile) },
+        { "author", required_argument, nullptr, FirstCommandOption + static_cast<int>(Option::Author) },
+        { "id", required_argument, nullptr, FirstCommandOption + static_cast<int>(Option::Id) },
+        { "expect-revision", required_argument, nullptr,
+            FirstCommandOption + static_cast<int>(Option::ExpectRevision) },
         { nullptr, 0, nullptr, 0 },
     } };
 
-    [[nodiscard]] std::string optionName(Option each)
+    [[nodiscard]] std::string optionName(Option commandOption)
     {
-        return "--" + std::string(specialNames[static_cast<std::size_t>(each)]);
+        return "--" + std::string(commandOptionNames[static_cast<std::size_t>(commandOption)]);
     }
 
-    [[nodiscard]] bool hasOption(const CommandInfo& info, Option each)
+    [[nodiscard]] bool hasOption(const CommandInfo& info, Option commandOption)
     {
         const auto end = info.options.begin() + static_cast<std::ptrdiff_t>(info.optionCount);
-        return std::find(info.options.begin(), end, each) != end;
+        return std::find(info.options.begin(), end, commandOption) != end;
     }
 
     [[nodiscard]] const CommandInfo& infoOf(Command command)
@@ -54,7 +56,7 @@
             commands.begin(), commands.end(), [&](const CommandInfo& info) { return info.command == command; });
     }
 
-    /** Parses one command line and collects what is wrong with it. */
+    /** Parses one command line and collects its errors as findings. */
     class Parser {
     public:
         explicit Parser(Findings& findings)
@@ -65,7 +67,7 @@
         [[nodiscard]] CommandLine parse(const std::vector<std::string>& arguments)
         {
             readOptions(arguments);
-            takeCommand();
+            findCommand();
             if (!line_.help) {
                 checkCommand();
             }
@@ -88,19 +90,19 @@
                 pointers.push_back(word.data());
             }
             pointers.push_back(nullptr);
-            // getopt keeps its place between calls; 0 has it start anew.
+            // getopt_long() keeps its position in a global variable; 0 resets it.
             optind = 0;
             const int count = static_cast<int>(words.size());
             int found = 0;
             while ((found = getopt_long(count, pointers.data(), ":", longOptions.data(), nullptr)) != -1) {
-                takeOption(found, pointers[static_cast<std::size_t>(optind - 1)]);
+                storeOption(found, pointers[static_cast<std::size_t>(optind - 1)]);
             }
             for (auto index = static_cast<std::size_t>(optind); index < words.size(); ++index) {
                 words_.emplace_back(pointers[index]);
             }
         }
 
-        void takeOption(int found, const std::string& word)
+        void storeOption(int found, const std::string& word)
         {
             if (found == '?') {
                 report("unknown or ambiguous option " + word);
@@ -113,14 +115,14 @@
             } else if (found == HelpOption) {
                 line_.help = true;
             } else {
-                takeSpecial(static_cast<Option>(found - FirstSpecial), optarg);
+                storeCommandOption(static_cast<Option>(found - FirstCommandOption), optarg);
             }
         }
 
-        void takeSpecial(Option each, const std::string& value)
+        void storeCommandOption(Option commandOption, const std::string& value)
         {
-            given_.push_back(each);
-            switch (each) {
+            commandOptions_.push_back(commandOption);
+            switch (commandOption) {
             case Option::Key:
                 line_.key = value;
                 break;
@@ -131,15 +133,15 @@
                 line_.author = value;
                 break;
             case Option::Id:
-                takeId(value);
+                storeId(value);
                 break;
             case Option::ExpectRevision:
-                takeRevision(value);
+                storeRevision(value);
                 break;
             }
         }
 
-        void takeId(const std::string& value)
+        void storeId(const std::string& value)
         {
             line_.id = parseWhole<std::uint64_t>(value, hexadecimal);
             if (line_.id.value_or(0) == 0) {
@@ -147,7 +149,7 @@
             }
         }
 
-        void takeRevision(const std::string& value)
+        void storeRevision(const std::string& value)
         {
             const auto number = parseWhole<std::uint64_t>(value, decimal);
             if (!number && value != "new") {
@@ -156,7 +158,7 @@
             line_.expected = ExpectedRevision { number ? std::optional(Offset(*number)) : std::nullopt };
         }
 
-        void takeCommand()
+        void findCommand()
         {
             if (words_.empty()) {
                 if (!line_.help) {
@@ -192,12 +194,12 @@
             }
             const auto& info = infoOf(*line_.command);
             const auto count = line_.arguments.size();
-            if (count < info.leastArguments || count > info.mostArguments) {
+            if (count < info.minArguments || count > info.maxArguments) {
                 report("usage: " + std::string(info.words) + ' ' + std::string(info.parameters));
             }
-            for (const auto each : given_) {
-                if (!hasOption(info, each)) {
-                    report(std::string(info.words) + " has no option " + optionName(each));
+            for (const auto commandOption : commandOptions_) {
+                if (!hasOption(info, commandOption)) {
+                    report(std::string(info.words) + " has no option " + optionName(commandOption));
                 }
             }
             if (info.command == Command::AccountCreate && line_.key.has_value() == line_.keyFile.has_value()) {
@@ -208,7 +210,7 @@
         Findings& findings_;
         CommandLine line_;
         std::vector<std::string> words_;
-        std::vector<Option> given_;
+        std::vector<Option> commandOptions_;
     };
 
     constexpr std::string_view commonHelp = "Options of every command:\n"
--- a/apps/ctl/CommandLine.h
+++ b/apps/ctl/CommandLine.h
@@ -30,9 +30,9 @@
     Status,
 };
 
-/** A command line, checked. */
+/** A parsed and checked command line. */
 struct CommandLine {
-    /** Nothing: only help is asked for. */
+    /** The command; `std::nullopt` if only the general help is requested. */
     std::optional<Command> command;
     std::vector<std::string> arguments;
     std::string settingsFile = "/etc/swiftlift/ctl.yaml";
@@ -41,23 +41,23 @@
     std::optional<std::string> key;
     std::optional<std::string> keyFile;
     std::optional<std::string> author;
-    /** Of a change that is asked for again. */
+    /** Id of an earlier run of the same change, which this command repeats. */
     std::optional<std::uint64_t> id;
     std::optional<ExpectedRevision> expected;
 };
 
 /**
  * @param arguments Words after the program's name.
- * @param findings Takes all that is wrong with them.
- * @return The command line; nothing when anything was found.
+ * @param findings Receives one finding for each error in the arguments.
+ * @return The command line; `std::nullopt` if the arguments have errors.
  */
 [[nodiscard]] std::optional<CommandLine> parseCommandLine(
     const std::vector<std::string>& arguments, Findings& findings);
 
-/** @return What the program does, and its commands. */
+/** @return The general help: the list of commands and the common options. */
 [[nodiscard]] std::string helpText();
 
-/** @return How one command is used. */
+/** @return The help of one command. */
 [[nodiscard]] std::string helpText(Command command);
 
 } // namespace swiftlift::ctl
--- a/apps/ctl/Commands.h
+++ b/apps/ctl/Commands.h
@@ -8,19 +8,19 @@
 
 namespace swiftlift::ctl {
 
-/** Options that only some commands have. */
+/** Options that are specific to some commands. */
 enum class Option : std::uint8_t { Key, KeyFile, Author, Id, ExpectRevision };
 
-/** One command: its words, its arguments and its help. */
+/** Name, arguments, options and help of one command. */
 struct CommandInfo {
     Command command;
     std::string_view words;
     std::string_view parameters;
-    std::size_t leastArguments;
-    std::size_t mostArguments;
+    std::size_t minArguments;
+    std::size_t maxArguments;
     std::string_view summary;
     std::string_view details;
-    /** Filled from the front; `optionCount` of them count. */
+    /** Options of the command: the first `optionCount` elements. */
     std::array<Option, 3> options;
     std::size_t optionCount;
 };
--- a/apps/ctl/ConfigReader.cpp
+++ b/apps/ctl/ConfigReader.cpp
@@ -31,7 +31,7 @@
 {
     const auto note = [&](const auto& each) {
         if constexpr (requires { each.id; }) {
-            // The first landing decides; a repeat of the same append only says that it did.
+            // The first record with the id decides; the effect of a repeated append only reports that it is a repeat.
             if (id_ == 0 || each.id != id_ || verdict_) {
                 return;
             }
--- a/apps/ctl/ConfigReader.h
+++ b/apps/ctl/ConfigReader.h
@@ -11,18 +11,18 @@
 
 namespace swiftlift::ctl {
 
-/** Folds the stream `config`, and watches for one publish. */
+/** Folds the stream `config`, and records the outcome of one publish. */
 class ConfigReader final : public StreamReader {
 public:
     explicit ConfigReader(Log& log);
 
-    /** @brief Watches for the publish with this id; before the first catchUp(). */
+    /** @brief Selects the publish whose outcome is recorded. Must be called before the first catchUp(). */
     void watch(std::uint64_t id) noexcept { id_ = id; }
 
-    /** @return What the watched publish did; nothing: it has not landed. */
+    /** @return Outcome of the watched publish; `std::nullopt` if it has not been found in the stream. */
     [[nodiscard]] const std::optional<config::ConfigEffect>& verdict() const noexcept { return verdict_; }
 
-    /** @return Who is in force as of the verdict: the revision that the watched publish lost to or became. */
+    /** @return The revision in force when the watched publish was decided: its own, or the one that it lost to. */
     [[nodiscard]] const std::optional<config::ServiceRevision>& winner() const noexcept { return winner_; }
 
     [[nodiscard]] const config::ConfigFold& fold() const noexcept { return fold_; }
--- a/apps/ctl/Http.cpp
+++ b/apps/ctl/Http.cpp
@@ -53,8 +53,8 @@
     const auto colon = endpoint.value().rfind(':');
     const auto ip = endpoint.value().substr(0, colon);
     const auto port = static_cast<unsigned short>(std::stoi(endpoint.value().substr(colon + 1)));
-    // The library reports a refused connection, a timeout and a broken answer by exceptions; here they are all "no
-    // reply", and the caller tries the next endpoint.
+    // The library reports a refused connection, a timeout and an invalid reply by exceptions. All of them count as
+    // no reply, and the caller tries the next endpoint.
     try {
         cxxtools::http::Client client(ip, port);
         const auto request = makeRequest(method, target, body);
--- a/apps/ctl/Http.h
+++ b/apps/ctl/Http.h
@@ -13,22 +13,22 @@
     std::string body;
 };
 
-/** One HTTP call at a time, each on its own connection. Never throws. */
+/** Blocking HTTP client that uses a new connection for each call. Its calls don't throw. */
 class Http {
 public:
-    /** @param timeout Of connecting, and of each wait for the answer. */
+    /** @param timeout Timeout of connecting, and of each wait for the reply. */
     explicit Http(Duration timeout);
 
-    /** @return The reply; nothing with `lastReason()` when none came. */
+    /** @return The reply; `std::nullopt` if there was none, see lastReason(). */
     [[nodiscard]] std::optional<HttpReply> get(const settings::Endpoint& endpoint, const std::string& target);
 
-    /** @return As get(); without a reply the call may have taken effect all the same. */
+    /** @return The reply; `std::nullopt` if there was none, in which case the call may still have taken effect. */
     [[nodiscard]] std::optional<HttpReply> post(
         const settings::Endpoint& endpoint, const std::string& target, const std::string& body);
 
     [[nodiscard]] const std::string& lastReason() const noexcept { return lastReason_; }
 
-    /** @brief Gives the next calls this much more time than the timeout, for long polls. */
+    /** @brief Extends the reply timeout of the next calls, for long polls. */
     void setExtraTime(Duration extra) noexcept { extra_ = extra; }
 
 private:
--- a/apps/ctl/HttpLog.cpp
+++ b/apps/ctl/HttpLog.cpp
@@ -14,7 +14,8 @@
 
     constexpr int statusOk = 200;
     constexpr int statusExpired = 410;
-    constexpr int recordsPerRead = 1'000;
+    /** Maximum number of records in one read. */
+    constexpr int maxRecordsPerRead = 1'000;
 
     [[nodiscard]] std::string statusText(const HttpReply& reply)
     {
@@ -45,7 +46,7 @@
     request.add_records(record);
     const auto body = request.SerializeAsString();
     http_.setExtraTime({});
-    for (std::size_t tries = 0; tries < endpoints_.size(); ++tries) {
+    for (std::size_t attempt = 0; attempt < endpoints_.size(); ++attempt) {
         const auto reply = http_.post(endpoints_[current_], "/streams/" + stream.value() + "/append", body);
         if (reply && reply->status == statusOk) {
             return true;
@@ -60,10 +61,10 @@
 {
     const auto waitMs = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     const auto target = "/streams/" + stream.value() + "/records?from=" + std::to_string(from.value())
-        + "&max=" + std::to_string(recordsPerRead) + "&wait_ms=" + std::to_string(waitMs);
+        + "&max=" + std::to_string(maxRecordsPerRead) + "&wait_ms=" + std::to_string(waitMs);
     http_.setExtraTime(wait);
     ReadAnswer answer = ReadFailed { "the log has no endpoint" };
-    for (std::size_t tries = 0; tries < endpoints_.size(); ++tries) {
+    for (std::size_t attempt = 0; attempt < endpoints_.size(); ++attempt) {
         const auto reply = http_.get(endpoints_[current_], target);
         answer = reply ? readReply(*reply) : ReadFailed { endpoints_[current_].value() + ": " + http_.lastReason() };
         if (!std::holds_alternative<ReadFailed>(answer)) {
@@ -84,7 +85,7 @@
     }
     proto::log::ReadReply message;
     if (!message.ParseFromString(reply.body)) {
-        return ReadFailed { "the log's answer is no ReadReply" };
+        return ReadFailed { "the log's answer is no valid ReadReply" };
     }
     ReadRecords records { Offset(message.first_offset()), {}, Offset(message.end_offset()) };
     records.records.assign(message.records().begin(), message.records().end());
--- a/apps/ctl/HttpLog.h
+++ b/apps/ctl/HttpLog.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::ctl {
 
-/** The platform's log over HTTP. Endpoints are tried in turn, beginning with the one that answered last. */
+/** Client of the platform's log over HTTP. Tries its endpoints in turn, starting with the last one that answered. */
 class HttpLog final : public Log {
 public:
     HttpLog(std::vector<settings::Endpoint> endpoints, Duration timeout);
--- a/apps/ctl/LedgerChange.cpp
+++ b/apps/ctl/LedgerChange.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-    /** @return Whether an entry that landed under our id is the change that is asked for now. */
-    [[nodiscard]] bool isSameChange(const ledger::Entry& landed, const ledger::Entry& wanted)
+    /** @return True if the entry found under this change's id is the same change as the requested one. */
+    [[nodiscard]] bool isSameChange(const ledger::Entry& landed, const ledger::Entry& requested)
     {
         const auto* const first = std::get_if<ledger::CloseAccount>(&landed);
-        const auto* const second = std::get_if<ledger::CloseAccount>(&wanted);
+        const auto* const second = std::get_if<ledger::CloseAccount>(&requested);
         if (first != nullptr && second != nullptr) {
-            // Asked for again after it landed, the account has another revision.
+            // The revisions may differ: closing the account changed its revision before this repeated command read it.
             return first->account == second->account;
         }
-        return landed == wanted;
+        return landed == requested;
     }
 
-    /** Makes one change of one account and tells what became of it. */
+    /** Makes one change of one account and reports its outcome. */
     class LedgerChange {
     public:
         LedgerChange(const ChangeContext& context, std::uint32_t shards, const AccountId& account)
--- a/apps/ctl/LedgerChange.h
+++ b/apps/ctl/LedgerChange.h
@@ -11,17 +11,17 @@
 
 namespace swiftlift::ctl {
 
-/** @brief Creates a client account. @param keyHash SHA-256 of its key, in hex. */
+/** @brief Creates a client account. @param keyHash SHA-256 of the account's key, in hex. */
 [[nodiscard]] Report createAccount(
     const ChangeContext& context, std::uint32_t shards, const AccountId& account, const std::string& keyHash);
 
-/** @brief Closes an account. @param expected Its revision as the operator saw it; nothing: the present one. */
+/** @brief Closes an account. @param expected Revision that the operator decided on; `std::nullopt`: the current one. */
 [[nodiscard]] Report closeAccount(const ChangeContext& context, std::uint32_t shards, const AccountId& account,
     const std::optional<Offset>& expected);
 
 /**
- * @brief Frees what a grant has not billed, on the operator's word that its holder's VM is gone for good.
- * @param account Client account that the grant's budget is of.
+ * @brief Frees the unbilled tokens of a grant, after an operator confirmed that its holder's VM is permanently lost.
+ * @param account Client account that owns the grant's budget.
  */
 [[nodiscard]] Report writeOff(
     const ChangeContext& context, std::uint32_t shards, const AccountId& account, const GrantId& grant);
--- a/apps/ctl/LedgerReader.cpp
+++ b/apps/ctl/LedgerReader.cpp
@@ -30,7 +30,7 @@
 bool LedgerReader::apply(Offset offset, const std::string& record)
 {
     std::string reason;
-    // A record that nobody can read is void for every reader: an empty batch.
+    // Every reader treats a record that can't be decoded as an empty batch.
     const auto batch = ledger::decodeBatch(record, reason).value_or(ledger::Batch {});
     if (seekFrom_) {
         seek(offset, batch);
@@ -55,7 +55,7 @@
     seekNext_ = Offset(offset.value() + 1);
     for (const auto& item : batch.items) {
         const auto* const checkpoint = std::get_if<ledger::Checkpoint>(&item.entry);
-        // A checkpoint of before the oldest record would leave a hole behind it: bills in the hole would be missed.
+        // After a checkpoint from before the oldest retained record, records are missing, and with them their bills.
         if (checkpoint != nullptr && checkpoint->asOf >= *seekFrom_ && checkpoint->asOf <= offset
             && fold_.restore(*checkpoint)) {
             seekFrom_.reset();
@@ -66,13 +66,13 @@
 
 void LedgerReader::noteVerdict(Offset offset, const ledger::Batch& batch, const std::vector<ledger::Effect>& effects)
 {
-    const auto isOurs = [&](const auto& each) { return each.origin == author_ && each.sequence == firstSequence; };
+    const auto isWatched = [&](const auto& each) { return each.origin == author_ && each.sequence == firstSequence; };
     for (const auto& effect : effects) {
-        if (const auto* const landed = std::get_if<ledger::Landed>(&effect); landed != nullptr && isOurs(*landed)) {
+        if (const auto* const landed = std::get_if<ledger::Landed>(&effect); landed != nullptr && isWatched(*landed)) {
             verdict_ = LedgerVerdict { offset, std::nullopt, std::nullopt };
         }
         const auto* const refused = std::get_if<ledger::Refused>(&effect);
-        if (refused != nullptr && isOurs(*refused) && verdict_) {
+        if (refused != nullptr && isWatched(*refused) && verdict_) {
             verdict_->refusal = refused->reason;
         }
     }
@@ -80,7 +80,7 @@
         return;
     }
     for (const auto& item : batch.items) {
-        if (isOurs(item)) {
+        if (isWatched(item)) {
             verdict_->entry = item.entry;
             return;
         }
--- a/apps/ctl/LedgerReader.h
+++ b/apps/ctl/LedgerReader.h
@@ -11,24 +11,24 @@
 
 namespace swiftlift::ctl {
 
-/** What became of an author's first item. */
+/** Outcome of an author's first item. */
 struct LedgerVerdict {
-    /** Nothing: it landed before the checkpoint that was read. */
+    /** Offset of the item's record; `std::nullopt` if the record precedes the checkpoint that the fold started from. */
     std::optional<Offset> offset;
     std::optional<ledger::Entry> entry;
-    /** Why the rules refused it; nothing: admitted. */
+    /** Why the ledger's rules refused the item; `std::nullopt` if they admitted it. */
     std::optional<std::string> refusal;
 };
 
-/** Folds one shard of the ledger, and watches for one author's item. */
+/** Folds one shard of the ledger, and records the outcome of one author's first item. */
 class LedgerReader final : public StreamReader {
 public:
     LedgerReader(Log& log, StreamName stream);
 
-    /** @brief Watches for the first item of this author; before the first catchUp(). */
+    /** @brief Selects the author whose first item is watched. Must be called before the first catchUp(). */
     void watch(Incarnation author) noexcept { author_ = author; }
 
-    /** @return What became of the watched item; nothing: it has not landed. */
+    /** @return Outcome of the watched item; `std::nullopt` if it has not been found in the stream. */
     [[nodiscard]] std::optional<LedgerVerdict> verdict() const;
 
     [[nodiscard]] const ledger::Fold& fold() const noexcept { return fold_; }
@@ -46,8 +46,9 @@
     ledger::Fold fold_;
     Incarnation author_;
     std::optional<LedgerVerdict> verdict_;
-    /** While a checkpoint is sought: the oldest record that is left. */
+    /** Offset of the oldest retained record while the reader searches for a checkpoint; otherwise `std::nullopt`. */
     std::optional<Offset> seekFrom_;
+    /** Offset of the next record to read during that search. */
     Offset seekNext_;
 };
 
--- a/apps/ctl/LineDiff.cpp
+++ b/apps/ctl/LineDiff.cpp
@@ -12,8 +12,9 @@
 
     using Lines = std::vector<std::string_view>;
 
-    /** Larger differences are shown as all out, all in: the table would take too much memory. */
-    constexpr std::size_t maxTable = 4'000'000;
+    /** Maximum number of table cells. A larger difference is shown as all old lines removed and all new lines added,
+     * because its table would take too much memory. */
+    constexpr std::size_t maxTableCells = 4'000'000;
 
     [[nodiscard]] Lines splitLines(std::string_view text)
     {
@@ -31,7 +32,7 @@
         out += sign + std::to_string(number) + ": " + std::string(line) + '\n';
     }
 
-    /** Length of the longest common subsequence of every two tails. */
+    /** Lengths of the longest common subsequences of all pairs of suffixes of two texts, in lines. */
     class CommonLengths {
     public:
         CommonLengths(std::span<const std::string_view> before, std::span<const std::string_view> after)
@@ -61,7 +62,7 @@
         std::span<const std::string_view> before, std::span<const std::string_view> after, std::size_t skipped)
     {
         std::string out;
-        const bool small = (before.size() + 1) * (after.size() + 1) <= maxTable;
+        const bool small = (before.size() + 1) * (after.size() + 1) <= maxTableCells;
         const CommonLengths lengths(small ? before : before.first(0), small ? after : after.first(0));
         std::size_t row = 0;
         std::size_t column = 0;
--- a/apps/ctl/LineDiff.h
+++ b/apps/ctl/LineDiff.h
@@ -6,8 +6,9 @@
 namespace swiftlift::ctl {
 
 /**
- * @return The lines that differ: `-` is only in `before`, `+` only in `after`, each with its line number; empty when
- * the texts are equal.
+ * @brief Compares two texts line by line.
+ * @return The lines that differ, each with its line number: `-` for lines only in `before`, `+` for lines only in
+ * `after`. Empty if the texts are equal.
  */
 [[nodiscard]] std::string lineDiff(std::string_view before, std::string_view after);
 
--- a/apps/ctl/Log.h
+++ b/apps/ctl/Log.h
@@ -16,18 +16,19 @@
     /** Offset that the next record will get. */
     Offset end;
 };
-/** The offset asked for is no longer kept. */
+/** The log no longer retains the requested offset. */
 struct ReadExpired {
+    /** Oldest offset that the log retains. */
     Offset oldest;
 };
-/** No endpoint of the log gave an answer. */
+/** No endpoint of the log gave a valid answer. */
 struct ReadFailed {
     std::string reason;
 };
 
 using ReadAnswer = std::variant<ReadRecords, ReadExpired, ReadFailed>;
 
-/** The platform's log, see docs/PROTOCOLS.md section 4. */
+/** Client of the platform's log, see docs/PROTOCOLS.md section 4. */
 class Log {
 public:
     Log() = default;
@@ -35,13 +36,13 @@
     Log(const Log&) = delete;
     Log& operator=(const Log&) = delete;
 
-    /** @return Whether the log answered that it took the record; otherwise it may have taken it all the same. */
+    /** @return True if the log acknowledged the record; otherwise the record may still have been appended. */
     [[nodiscard]] virtual bool append(const StreamName& stream, const std::string& record) = 0;
 
-    /** @param wait How long to wait for a record when there is none. */
+    /** @param wait How long the log waits for a record if there is none at `from`. */
     [[nodiscard]] virtual ReadAnswer read(const StreamName& stream, Offset from, Duration wait) = 0;
 
-    /** @return Why the last append had no good answer. */
+    /** @return Why the last append was not acknowledged. */
     [[nodiscard]] virtual const std::string& lastReason() const noexcept = 0;
 };
 
--- a/apps/ctl/Publish.cpp
+++ b/apps/ctl/Publish.cpp
@@ -22,7 +22,7 @@
                 { "id", transport::toHex(context.id) } } };
     }
 
-    /** @return Who won, and what differs between the winner's document and ours. */
+    /** @return The report of a publish that lost to another: the winner's author, and the lines that differ. */
     [[nodiscard]] Report overtakenReport(
         const ServiceName& service, const std::optional<config::ServiceRevision>& winner, const std::string& document)
     {
@@ -41,7 +41,7 @@
         return report;
     }
 
-    /** Makes one publish and tells what became of it. */
+    /** Makes one publish and reports its outcome. */
     class PublishChange {
     public:
         PublishChange(
@@ -72,7 +72,8 @@
             }
             const auto present = last != nullptr ? std::optional(last->revision) : std::nullopt;
             if (order_.expected && order_.expected->revision != present) {
-                // Revisions only grow, so the expected one can't come back: the publish would lose for certain.
+                // Revisions only grow, so the expected revision can't become current again and the publish would be
+                // refused.
                 return overtakenReport(service_, last != nullptr ? std::optional(*last) : std::nullopt, document_);
             }
             return send(present);
@@ -89,7 +90,7 @@
             return verdictReport();
         }
 
-        /** @return The revision that a former run with the same id became, where its record has expired. */
+        /** @return The revision that an earlier run with the same id published, if its record has expired. */
         [[nodiscard]] std::optional<Offset> findEarlier() const
         {
             for (const auto& note : reader_.fold().history(service_)) {
--- a/apps/ctl/Report.h
+++ b/apps/ctl/Report.h
@@ -12,28 +12,28 @@
 /** Exit status of the command. */
 enum class ExitCode : int {
     Ok = 0,
-    /** The rules refused the change, or there is no such thing. */
+    /** The change was refused by the rules, or the named object does not exist. */
     Refused = 1,
-    /** Wrong command line, settings or document. */
+    /** Invalid command line, settings or document. */
     Usage = 2,
     /** The platform or all routers can't be reached, or the outcome of a change is not known. */
     Unreachable = 3,
 };
 
-/** What a command has to say: to people, and to programs. */
+/** Result of a command: its exit code, its text for people and its JSON for programs. */
 struct Report {
     ExitCode code = ExitCode::Ok;
     std::string text;
     nlohmann::json json;
 };
 
-/** @return A report of something that failed before anything was changed. */
+/** @return The report of a command that failed before it changed anything. */
 [[nodiscard]] inline Report failure(ExitCode code, const std::string& outcome, const std::string& reason)
 {
     return { code, reason + '\n', { { "outcome", outcome }, { "reason", reason } } };
 }
 
-/** @return A report of findings, one a line. */
+/** @return The report of a list of findings, one a line. */
 [[nodiscard]] inline Report findingsReport(const Findings& findings)
 {
     Report report { ExitCode::Usage, {}, { { "outcome", "findings" }, { "findings", nlohmann::json::array() } } };
--- a/apps/ctl/Routers.cpp
+++ b/apps/ctl/Routers.cpp
@@ -16,7 +16,8 @@
 
     constexpr int statusOk = 200;
 
-    [[nodiscard]] RouterAnswer ask(const settings::Endpoint& router, const std::string& target, Duration timeout)
+    [[nodiscard]] RouterAnswer queryRouter(
+        const settings::Endpoint& router, const std::string& target, Duration timeout)
     {
         Http http(timeout);
         const auto reply = http.get(router, target);
@@ -61,27 +62,27 @@
         return routers;
     }
 
-    /** @return The list under the key; empty when the answer has none. */
+    /** @return The JSON array under the key; empty if the answer has none. */
     [[nodiscard]] Json listOf(const RouterAnswer& answer, const std::string& key)
     {
         const bool has = answer.json && answer.json->is_object() && answer.json->contains(key);
         return has && (*answer.json)[key].is_array() ? (*answer.json)[key] : Json::array();
     }
 
-    /** @return The text under the key; empty when there is none. A router of another release may say other things. */
+    /** @return The string under the key; empty if there is none, as in answers of routers of another release. */
     [[nodiscard]] std::string textOf(const Json& object, const std::string& key)
     {
         const bool has = object.contains(key) && object[key].is_string();
         return has ? object[key].get<std::string>() : std::string();
     }
 
-    /** What some routers say alike of one VM or backend server. */
+    /** Row on one VM or backend server, and the routers that reported exactly this row. */
     struct SharedRow {
         Json row;
         std::set<std::string> seenBy;
     };
 
-    /** @return What the routers say, equal rows once, those of the same VM or backend server next to each other. */
+    /** @return The rows of all routers: equal rows merged, rows on the same VM or backend server adjacent. */
     [[nodiscard]] std::vector<SharedRow> mergeViews(const RouterAnswers& answers, const std::string& topic)
     {
         std::vector<SharedRow> rows;
@@ -103,7 +104,7 @@
         return rows;
     }
 
-    /** @return `all`, or whichever is shorter: who sees it, or all but whom. */
+    /** @return `all`, or the shorter of two lists: the routers that reported a row, or `all but` the others. */
     [[nodiscard]] std::string seenByText(const std::set<std::string>& seenBy, const RouterAnswers& answers)
     {
         std::string seen;
@@ -120,7 +121,7 @@
         return unseen.size() < seen.size() ? "all but " + unseen : seen;
     }
 
-    [[nodiscard]] Report noRouter(const RouterAnswers& answers)
+    [[nodiscard]] Report unreachableReport(const RouterAnswers& answers)
     {
         const auto reason = answers.empty() ? "the settings name no routers (routers.operators)" : "no router answers";
         auto report = failure(ExitCode::Unreachable, "unreachable", reason);
@@ -129,7 +130,7 @@
         return report;
     }
 
-    /** @return One decision on one line, its kind and its age first. */
+    /** @return One decision on one line, its kind first. */
     [[nodiscard]] std::string decisionText(const Json& decision)
     {
         std::string text = textOf(decision, "kind");
@@ -150,7 +151,7 @@
         return text;
     }
 
-    [[nodiscard]] std::string escaped(const std::string& text)
+    [[nodiscard]] std::string percentEncoded(const std::string& text)
     {
         constexpr std::string_view digits = "0123456789ABCDEF";
         std::string out;
@@ -175,12 +176,12 @@
 {
 }
 
-RouterAnswers HttpRouters::askAll(const std::string& target)
+RouterAnswers HttpRouters::queryAll(const std::string& target)
 {
-    // One after the other, the unreachable ones of a partition would take a timeout each.
+    // The calls run concurrently: in a partition, sequential calls would take one timeout for each unreachable router.
     std::vector<std::future<RouterAnswer>> calls;
     for (const auto& router : routers_) {
-        calls.push_back(std::async(std::launch::async, ask, router, target, timeout_));
+        calls.push_back(std::async(std::launch::async, queryRouter, router, target, timeout_));
     }
     RouterAnswers answers;
     for (auto& call : calls) {
@@ -191,9 +192,9 @@
 
 Report routerStatus(Routers& routers)
 {
-    const auto answers = routers.askAll("/status");
+    const auto answers = routers.queryAll("/status");
     if (!anyAnswered(answers)) {
-        return noRouter(answers);
+        return unreachableReport(answers);
     }
     Json rows = Json::array();
     for (const auto& answer : answers) {
@@ -211,9 +212,9 @@
 
 Report routerViews(Routers& routers, const std::string& topic)
 {
-    const auto answers = routers.askAll('/' + topic);
+    const auto answers = routers.queryAll('/' + topic);
     if (!anyAnswered(answers)) {
-        return noRouter(answers);
+        return unreachableReport(answers);
     }
     auto rows = mergeViews(answers, topic);
     Json list = Json::array();
@@ -221,15 +222,15 @@
         row.row["seen_by"] = seenByText(row.seenBy, answers);
         list.push_back(std::move(row.row));
     }
-    const auto text = list.empty() ? "no router tells of any\n" : readable(list);
+    const auto text = list.empty() ? "no router reports any of them\n" : readable(list);
     return { ExitCode::Ok, text + unreachableText(answers), { { "routers", toJson(answers) } } };
 }
 
 Report explainRequest(Routers& routers, const std::string& request)
 {
-    const auto answers = routers.askAll("/explain?request=" + escaped(request));
+    const auto answers = routers.queryAll("/explain?request=" + percentEncoded(request));
     if (!anyAnswered(answers)) {
-        return noRouter(answers);
+        return unreachableReport(answers);
     }
     std::string text;
     for (const auto& answer : answers) {
@@ -252,10 +253,10 @@
             names.emplace(textOf(row, "incarnation"), textOf(row, "peer"));
         }
     };
-    for (const auto& answer : routers.askAll("/status")) {
+    for (const auto& answer : routers.queryAll("/status")) {
         note(answer.json.value_or(Json()));
     }
-    for (const auto& answer : routers.askAll("/vms")) {
+    for (const auto& answer : routers.queryAll("/vms")) {
         for (const auto& row : listOf(answer, "vms")) {
             note(row);
         }
@@ -265,7 +266,7 @@
 
 void addHoldings(Routers& routers, const std::optional<AccountId>& account, Report& report)
 {
-    const auto answers = routers.askAll("/budgets");
+    const auto answers = routers.queryAll("/budgets");
     Json holdings = Json::array();
     for (const auto& answer : answers) {
         for (auto holding : listOf(answer, "holdings")) {
--- a/apps/ctl/Run.cpp
+++ b/apps/ctl/Run.cpp
@@ -7,7 +7,7 @@
 
 #include "ctl/HttpLog.h"
 #include "ctl/LedgerChange.h"
-#include "ctl/Patience.h"
+#include "ctl/PollTimer.h"
 #include "ctl/Publish.h"
 #include "ctl/Routers.h"
 #include "ctl/Views.h"
@@ -28,7 +28,7 @@
 
     [[nodiscard]] std::optional<std::string> readText(std::istream& stream)
     {
-        // One byte more than a document may have is enough to have it refused.
+        // Reads one byte more than a document may have, so that the check of its size refuses a longer document.
         std::string text(settings::maxDocumentBytes + 1, '\0');
         stream.read(text.data(), static_cast<std::streamsize>(text.size()));
         if (stream.bad() || (stream.fail() && !stream.eof())) {
@@ -53,16 +53,16 @@
         return value && *value > 0 ? std::optional(Tokens(*value)) : std::nullopt;
     }
 
-    /** Carries out one command, with everything that it needs. */
+    /** Runs one command with the log, the routers and the settings that it needs. */
     class Runner {
     public:
         Runner(const CommandLine& line, const settings::CtlSettings& settings)
             : line_(line)
             , settings_(settings)
             , log_(settings.logEndpoints, settings.logTimeout)
-            , patience_(settings.logPatience)
+            , pollTimer_(settings.logPatience)
             , routers_(settings.routers, settings.routerTimeout)
-            , context_ { log_, patience_, line.id.value_or(transport::drawIncarnation().value()) }
+            , context_ { log_, pollTimer_, line.id.value_or(transport::drawIncarnation().value()) }
         {
         }
 
@@ -121,7 +121,7 @@
             }
             const auto& name = line_.arguments.front();
             if (!settings::isName(name)) {
-                return badName(name);
+                return invalidName(name);
             }
             return createAccount(context_, settings_.ledgerShards, AccountId(name), transport::keyHash(*key));
         }
@@ -153,7 +153,7 @@
             }
             for (const auto& name : { line_.arguments[0], line_.arguments[1] }) {
                 if (!settings::isName(name)) {
-                    return badName(name);
+                    return invalidName(name);
                 }
             }
             const BudgetRef budget { AccountId(line_.arguments[0]), BudgetId(line_.arguments[1]) };
@@ -192,16 +192,17 @@
 
         [[nodiscard]] PublishOrder order() const { return { line_.author.value_or(settings_.author), line_.expected }; }
 
-        [[nodiscard]] static Report badName(const std::string& name)
+        [[nodiscard]] static Report invalidName(const std::string& name)
         {
             return usageFailure('"' + name
-                + "\" is no name: 1 to 64 letters, digits, dots, dashes and underscores, a letter or digit first");
+                + "\" is no valid name: 1 to 64 letters, digits, dots, dashes and underscores, a letter or digit "
+                  "first");
         }
 
         const CommandLine& line_;
         const settings::CtlSettings& settings_;
         HttpLog log_;
-        TimedPatience patience_;
+        BackoffPollTimer pollTimer_;
         HttpRouters routers_;
         ChangeContext context_;
     };
--- a/apps/ctl/Run.h
+++ b/apps/ctl/Run.h
@@ -6,7 +6,7 @@
 
 namespace swiftlift::ctl {
 
-/** @brief Carries one command out. */
+/** @brief Runs one command. @return Its result, ready to be printed. */
 [[nodiscard]] Report run(const CommandLine& line);
 
 } // namespace swiftlift::ctl
--- a/apps/ctl/StreamReader.cpp
+++ b/apps/ctl/StreamReader.cpp
@@ -12,7 +12,7 @@
 
 bool StreamReader::catchUp(Duration wait)
 {
-    // A log that drops records faster than they are read would have this start again for ever.
+    // Without this limit, reading would restart forever if records expire faster than they are read.
     constexpr int maxRestarts = 5;
     int restarts = 0;
     while (true) {
@@ -51,7 +51,7 @@
             return false;
         }
         if (offset == expected.value() && readFrom().value() != offset + 1) {
-            // A checkpoint was found; what follows it is read from its own offset on.
+            // A checkpoint was found: the next read continues at the offset that the checkpoint restored.
             return true;
         }
         ++offset;
--- a/apps/ctl/StreamReader.h
+++ b/apps/ctl/StreamReader.h
@@ -15,9 +15,9 @@
     StreamReader& operator=(const StreamReader&) = delete;
 
     /**
-     * @brief Reads until nothing is left; goes on where the last call ended.
-     * @param wait How long to wait for the first record.
-     * @return false with `lastReason()` when the log gave no answer or the records make no whole prefix.
+     * @brief Reads up to the end of the stream, starting where the last call ended.
+     * @param wait How long the log waits for the first record if there is none.
+     * @return false if the log gave no answer or the records have a gap; see lastReason().
      */
     [[nodiscard]] bool catchUp(Duration wait = {});
 
@@ -25,16 +25,16 @@
     [[nodiscard]] const std::string& lastReason() const noexcept { return lastReason_; }
 
 protected:
-    /** @return Where reading goes on. */
+    /** @return Offset of the next record to read. */
     [[nodiscard]] virtual Offset readFrom() const = 0;
-    /** @return false with fail() when the record can't be applied. */
+    /** @return false, after a call of fail(), if the record can't be applied. */
     [[nodiscard]] virtual bool apply(Offset offset, const std::string& record) = 0;
-    /** @brief Records below `oldest` are lost: from there on a checkpoint has to be found. */
+    /** @brief Restarts at `oldest` because earlier records have expired; a checkpoint has to be found from there on. */
     virtual void startFrom(Offset oldest) = 0;
-    /** @return True while that checkpoint has not been found. */
+    /** @return True while the reader searches for a checkpoint after startFrom(). */
     [[nodiscard]] virtual bool seeking() const = 0;
 
-    /** @return false, with the reason kept. */
+    /** @brief Stores the reason for lastReason(). @return Always false. */
     bool fail(std::string reason);
 
 private:
--- a/apps/ctl/Table.cpp
+++ b/apps/ctl/Table.cpp
@@ -13,8 +13,8 @@
 
     using Json = nlohmann::json;
 
-    /** Bytes that are not the rest of a UTF-8 character: what a terminal shows as columns. */
-    [[nodiscard]] std::size_t widthOf(const std::string& text)
+    /** @return Number of UTF-8 characters, which approximates the terminal columns that the text takes. */
+    [[nodiscard]] std::size_t displayWidth(const std::string& text)
     {
         return static_cast<std::size_t>(std::count_if(text.begin(), text.end(),
             [](char letter) { return (static_cast<unsigned char>(letter) & 0xC0U) != 0x80U; }));
@@ -37,7 +37,7 @@
             && std::all_of(value.begin(), value.end(), [](const Json& row) { return row.is_object(); });
     }
 
-    /** Columns that come first, in this order; the others follow by their names. */
+    /** Columns that come first, in this order; the other columns follow. */
     constexpr std::array<std::string_view, 5> leadingColumns { "router", "account", "budget", "peer", "backend" };
 
     [[nodiscard]] std::string tableText(const Json& rows)
@@ -86,7 +86,7 @@
     std::vector<std::size_t> widths(rows_.front().size(), 0);
     for (const auto& row : rows_) {
         for (std::size_t column = 0; column < row.size(); ++column) {
-            widths[column] = std::max(widths[column], widthOf(row[column]));
+            widths[column] = std::max(widths[column], displayWidth(row[column]));
         }
     }
     std::string out;
@@ -94,7 +94,7 @@
         for (std::size_t column = 0; column < row.size(); ++column) {
             const bool isLast = column + 1 == row.size();
             out += row[column];
-            out += isLast ? "\n" : std::string(widths[column] + gap - widthOf(row[column]), ' ');
+            out += isLast ? "\n" : std::string(widths[column] + gap - displayWidth(row[column]), ' ');
         }
     }
     return out;
--- a/apps/ctl/Views.cpp
+++ b/apps/ctl/Views.cpp
@@ -16,19 +16,19 @@
 
     using Json = nlohmann::json;
 
-    [[nodiscard]] Report unreadable(const StreamReader& reader)
+    [[nodiscard]] Report unreadableLogReport(const StreamReader& reader)
     {
         return failure(ExitCode::Unreachable, "unreachable", "the log cannot be read: " + reader.lastReason());
     }
 
-    /** @brief Folds one shard after the other. @return What went wrong, if anything did. */
+    /** @brief Folds each shard and calls `visit` with its fold. @return The report of a failed read, if any. */
     [[nodiscard]] std::optional<Report> forEachShard(
         Log& log, std::uint32_t shards, const std::function<void(const ledger::Fold&)>& visit)
     {
         for (std::uint32_t shard = 0; shard < shards; ++shard) {
             LedgerReader reader(log, ledger::ledgerStream(shard));
             if (!reader.catchUp()) {
-                return unreadable(reader);
+                return unreadableLogReport(reader);
             }
             visit(reader.fold());
         }
@@ -158,7 +158,7 @@
 {
     ConfigReader reader(log);
     if (!reader.catchUp()) {
-        return unreadable(reader);
+        return unreadableLogReport(reader);
     }
     Json rows = Json::array();
     Table table({ "SERVICE", "KIND", "MODEL", "WEIGHTING", "REVISION", "AUTHOR", "ACCOUNTS", "BACKENDS" });
@@ -181,7 +181,7 @@
 {
     ConfigReader reader(log);
     if (!reader.catchUp()) {
-        return unreadable(reader);
+        return unreadableLogReport(reader);
     }
     const auto* const revision = reader.fold().current(service);
     if (revision == nullptr) {
@@ -200,7 +200,7 @@
 {
     ConfigReader reader(log);
     if (!reader.catchUp()) {
-        return unreadable(reader);
+        return unreadableLogReport(reader);
     }
     const auto notes = reader.fold().history(service);
     if (notes.empty()) {
--- a/apps/ctl/Views.h
+++ b/apps/ctl/Views.h
@@ -10,24 +10,24 @@
 
 namespace swiftlift::ctl {
 
-/** @brief The client accounts, from the ledger. */
+/** @brief Lists the client accounts in the ledger. */
 [[nodiscard]] Report listAccounts(Log& log, std::uint32_t shards);
 
 /**
- * @brief Bought, billed, held and free tokens of the budgets, and who holds them, from the ledger.
- * @param account Only of this account; nothing: of all.
- * @param names VMs of the holders, as far as they are known.
+ * @brief Lists the bought, billed, held and free tokens of the budgets in the ledger, and the holders of their grants.
+ * @param account Account whose budgets are listed; `std::nullopt`: all accounts.
+ * @param names VMs of the holders; may be incomplete.
  */
 [[nodiscard]] Report listBudgets(
     Log& log, std::uint32_t shards, const std::optional<AccountId>& account, const VmNames& names);
 
-/** @brief The services in force. */
+/** @brief Lists the services in force. */
 [[nodiscard]] Report listServices(Log& log);
 
-/** @brief A service's document in force. */
+/** @brief Prints a service's document in force. */
 [[nodiscard]] Report showService(Log& log, const ServiceName& service);
 
-/** @brief A service's revisions, oldest first. */
+/** @brief Lists a service's revisions, oldest first. */
 [[nodiscard]] Report serviceHistory(Log& log, const ServiceName& service);
 
 } // namespace swiftlift::ctl
--- a/tests/ctl/FakeLog.h
+++ b/tests/ctl/FakeLog.h
@@ -6,18 +6,18 @@
 #include <vector>
 
 #include "ctl/Log.h"
-#include "ctl/Patience.h"
+#include "ctl/PollTimer.h"
 
 namespace swiftlift::ctl::test {
 
-/** The platform's log in memory, with the failures that a test asks for. */
+/** In-memory log that injects failures. */
 class FakeLog final : public Log {
 public:
-    /** Runs before each append, for whoever else writes at that moment. */
+    /** Called once, before the next append; simulates a concurrent writer. */
     std::function<void()> beforeAppend;
-    /** Appends that take effect, but whose answer is lost. */
+    /** Number of next appends that take effect but whose answers are lost. */
     int loseAnswers = 0;
-    /** Appends that are lost on their way, and land only with landLate(). */
+    /** Number of next appends that are delayed until landLate() is called. */
     int delayAppends = 0;
     bool unreadable = false;
     std::uint64_t oldest = 0;
@@ -48,8 +48,8 @@
         }
         const auto& records = streams_[stream.value()];
         ReadRecords answer { from, {}, Offset(records.size()) };
-        constexpr std::size_t most = 3;
-        for (auto next = from.value(); next < records.size() && answer.records.size() < most; ++next) {
+        constexpr std::size_t maxRecords = 3;
+        for (auto next = from.value(); next < records.size() && answer.records.size() < maxRecords; ++next) {
             answer.records.push_back(records[next]);
         }
         return answer;
@@ -75,15 +75,15 @@
     std::string reason_ = "no answer";
 };
 
-/** A number of tries, without waiting. */
-class CountedPatience final : public Patience {
+/** Allows a fixed number of further attempts, without waiting. */
+class CountedPollTimer final : public PollTimer {
 public:
-    explicit CountedPatience(int tries)
-        : left_(tries)
+    explicit CountedPollTimer(int attempts)
+        : left_(attempts)
     {
     }
 
-    [[nodiscard]] bool pause() override { return left_-- > 0; }
+    [[nodiscard]] bool waitForNextAttempt() override { return left_-- > 0; }
 
 private:
     int left_;
--- a/tests/ctl/HttpLogTest.cpp
+++ b/tests/ctl/HttpLogTest.cpp
@@ -14,7 +14,7 @@
     namespace asio = boost::asio;
     using asio::ip::tcp;
 
-    /** Answers one connection after the other with the next of its replies; an empty one is a dropped connection. */
+    /** Accepts one connection for each reply, in order, and sends the reply; an empty reply closes the connection. */
     class ScriptedServer {
     public:
         explicit ScriptedServer(std::vector<std::string> replies)
@@ -30,7 +30,7 @@
             return settings::Endpoint("127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()));
         }
 
-        /** First lines of the requests; only after the last reply. */
+        /** Request lines without the HTTP version. Complete only after the last reply has been sent. */
         std::vector<std::string> requests;
 
     private:
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST(HttpLog, ReadsBinaryRecordsAndKnowsWhatHasExpired)
+TEST(HttpLog, ReadsBinaryRecordsAndReportsExpiredOffsets)
 {
     ScriptedServer server({ http("200 OK", records()), http("410 Gone", R"({"oldest":7})"), http("410 Gone", "x") });
     HttpLog log({ server.endpoint() }, timeout);
@@ -90,25 +90,25 @@
     EXPECT_EQ(server.requests.front(), "GET /streams/ledger-0/records?from=3&max=1000&wait_ms=250");
 }
 
-// Symptom: an operator cannot act although the log runs. Sequence: one endpoint answers 503, the next drops the
-// connection, the third is well. Cause: only the first endpoint is tried. The one that answered is tried first after.
-TEST(HttpLog, TriesEachEndpointAndStaysWithTheOneThatAnswers)
+// If only the first endpoint were tried, operators could make no change while one endpoint fails. The first endpoint
+// answers 503, the second drops the connection, the third works and is tried first from then on.
+TEST(HttpLog, TriesEachEndpointAndKeepsUsingTheOneThatAnswers)
 {
-    ScriptedServer out({ http("503 Unavailable", "") });
-    ScriptedServer drops({ "" });
-    ScriptedServer well({ http("200 OK", ""), http("200 OK", records()) });
-    HttpLog log({ out.endpoint(), drops.endpoint(), well.endpoint() }, timeout);
+    ScriptedServer failing({ http("503 Unavailable", "") });
+    ScriptedServer dropping({ "" });
+    ScriptedServer working({ http("200 OK", ""), http("200 OK", records()) });
+    HttpLog log({ failing.endpoint(), dropping.endpoint(), working.endpoint() }, timeout);
     EXPECT_TRUE(log.append(stream, "record"));
     EXPECT_TRUE(std::holds_alternative<ReadRecords>(log.read(stream, Offset(3), {})));
-    EXPECT_EQ(well.requests.front(), "POST /streams/ledger-0/append");
+    EXPECT_EQ(working.requests.front(), "POST /streams/ledger-0/append");
 }
 
-TEST(HttpLog, TellsWhyNobodyAnswers)
+TEST(HttpLog, ReportsWhyNoEndpointAnswers)
 {
-    ScriptedServer out({ http("429 Too Many Requests", "") });
-    HttpLog log({ out.endpoint() }, timeout);
+    ScriptedServer failing({ http("429 Too Many Requests", "") });
+    HttpLog log({ failing.endpoint() }, timeout);
     EXPECT_FALSE(log.append(stream, "record"));
-    EXPECT_EQ(log.lastReason(), out.endpoint().value() + ": the log answered 429");
+    EXPECT_EQ(log.lastReason(), failing.endpoint().value() + ": the log answered 429");
 }
 
 } // namespace swiftlift::ctl
--- a/tests/ctl/LedgerChangeTest.cpp
+++ b/tests/ctl/LedgerChangeTest.cpp
@@ -45,16 +45,16 @@
     private:
         ChangeContext context(std::uint64_t id)
         {
-            patience_ = std::make_unique<test::CountedPatience>(3);
-            return { log_, *patience_, id };
+            pollTimer_ = std::make_unique<test::CountedPollTimer>(3);
+            return { log_, *pollTimer_, id };
         }
 
-        std::unique_ptr<test::CountedPatience> patience_;
+        std::unique_ptr<test::CountedPollTimer> pollTimer_;
     };
 
 } // namespace
 
-TEST_F(LedgerChangeTest, CreatesAnAccountOnceAndTellsTheSecondOperator)
+TEST_F(LedgerChangeTest, CreatesAnAccountOnceAndRefusesTheSecondOperator)
 {
     EXPECT_EQ(create(1).code, ExitCode::Ok);
     const auto second = create(2);
@@ -63,9 +63,8 @@
     EXPECT_EQ(second.json["outcome"], "refused");
 }
 
-// Symptom: a budget shows twice the tokens that were paid for.
-// Sequence: the append of a top-up takes effect, its answer is lost, and the append is made again.
-// Cause: a repeat that the fold cannot tell from a second top-up. The repeat carries the same author and sequence.
+// A top-up whose answer is lost is appended again. The repeat has the same author and sequence number, so that the fold
+// does not count it as a second top-up and the budget does not show twice the tokens that were paid for.
 TEST_F(LedgerChangeTest, CountsATopUpOnceWhenAnswersAreLost)
 {
     ASSERT_EQ(create(1).code, ExitCode::Ok);
@@ -77,9 +76,9 @@
     EXPECT_EQ(bought(), 500);
 }
 
-// Symptom: as above. Sequence: the append lands long after the command gave up; the operator makes it again, as told,
-// with the id that was printed. Cause: a new author for the second run.
-TEST_F(LedgerChangeTest, CountsATopUpOnceWhenItIsAskedForAgainWithItsId)
+// The append of a top-up lands only after the command has timed out and the operator has repeated the command with the
+// printed id. If the second run used a new author, the budget would show twice the tokens that were paid for.
+TEST_F(LedgerChangeTest, CountsATopUpOnceWhenItIsRepeatedWithItsId)
 {
     ASSERT_EQ(create(1).code, ExitCode::Ok);
     log_.delayAppends = 100;
@@ -98,9 +97,8 @@
     EXPECT_EQ(bought(), 500);
 }
 
-// Symptom: an operator closes an account that a colleague has just paid into.
-// Sequence: one reads the account, the other tops it up, the first one's close lands.
-// Cause: a close that does not say which state of the account it was decided on.
+// One operator reads an account, another operator tops it up, then the close of the first operator lands. The close
+// carries the revision that it was decided on, so that an account is not closed just after a top-up.
 TEST_F(LedgerChangeTest, RefusesACloseThatLostTheRace)
 {
     ASSERT_EQ(create(1).code, ExitCode::Ok);
@@ -124,9 +122,9 @@
     EXPECT_EQ(listBudgets(log_, 1, std::nullopt, {}).code, ExitCode::Unreachable);
 }
 
-// Symptom: budgets show more free tokens than there are. Sequence: old records expire; a reader starts at the oldest.
-// Cause: a fold over a prefix with a hole. Without a checkpoint of after the hole, nothing is shown.
-TEST_F(LedgerChangeTest, ReadsOnFromACheckpointAndNeverOverAHole)
+// After old records have expired, a fold that simply starts at the oldest retained record misses bills and shows too
+// many free tokens. Without a checkpoint from after the gap, budgets are not shown at all.
+TEST_F(LedgerChangeTest, ContinuesFromACheckpointAndNeverAcrossAGap)
 {
     ASSERT_EQ(create(1).code, ExitCode::Ok);
     ASSERT_EQ(add(2, 500).code, ExitCode::Ok);
--- a/tests/ctl/PublishTest.cpp
+++ b/tests/ctl/PublishTest.cpp
@@ -24,18 +24,18 @@
     protected:
         Report send(std::uint64_t id, const std::string& text, std::optional<ExpectedRevision> expected = {})
         {
-            test::CountedPatience patience(3);
-            return publish({ log_, patience, id }, { "mina", expected }, text, "desk.yaml");
+            test::CountedPollTimer pollTimer(3);
+            return publish({ log_, pollTimer, id }, { "mina", expected }, text, "desk.yaml");
         }
 
-        Report takeOut(std::uint64_t id)
+        Report sendWithdrawal(std::uint64_t id)
         {
-            test::CountedPatience patience(3);
-            return withdraw({ log_, patience, id }, { "mina", std::nullopt }, desk);
+            test::CountedPollTimer pollTimer(3);
+            return withdraw({ log_, pollTimer, id }, { "mina", std::nullopt }, desk);
         }
 
-        /** Another operator's publish lands. */
-        void rival(const std::string& text, std::optional<Offset> replaces)
+        /** Appends another operator's publish to the log. */
+        void publishAsRival(const std::string& text, std::optional<Offset> replaces)
         {
             log_.put("config", config::encode({ desk, text, replaces, "olek", 77 }));
         }
@@ -52,9 +52,9 @@
     const auto shown = showService(log_, desk);
     EXPECT_EQ(shown.text, "# service order-desk, revision 1, published by mina\n" + second);
     EXPECT_EQ(shown.json["document"], second);
-    EXPECT_EQ(takeOut(3).json["revision"], 2);
+    EXPECT_EQ(sendWithdrawal(3).json["revision"], 2);
     EXPECT_EQ(showService(log_, desk).text, "service order-desk was withdrawn by mina\n");
-    EXPECT_EQ(takeOut(4).code, ExitCode::Refused);
+    EXPECT_EQ(sendWithdrawal(4).code, ExitCode::Refused);
     EXPECT_EQ(serviceHistory(log_, desk).text,
         "REVISION  CHANGE     AUTHOR  ID\n"
         "0         published  mina    0000000000000001\n"
@@ -64,12 +64,13 @@
     EXPECT_EQ(showService(log_, ServiceName("other")).code, ExitCode::Refused);
 }
 
-// Symptom: an operator's change vanishes without a word. Sequence: two operators read revision 0 and publish; both
-// appends are taken by the log. Cause: the later one overwrites. Instead it is refused, and its author told by whom.
-TEST_F(PublishTest, TellsTheLoserOfARaceWhoWonAndWhatDiffers)
+// Two operators read revision 0 and publish, and the log accepts both appends. If the later publish replaced the
+// earlier one, a change would be lost silently; instead it is refused, and its author is shown the winner and the
+// difference.
+TEST_F(PublishTest, ReportsWinnerAndDifferencesToTheLoserOfARace)
 {
     ASSERT_EQ(send(1, first).code, ExitCode::Ok);
-    log_.beforeAppend = [&] { rival(second, Offset(0)); };
+    log_.beforeAppend = [&] { publishAsRival(second, Offset(0)); };
     const auto lost = send(2, third);
     EXPECT_EQ(lost.code, ExitCode::Refused);
     EXPECT_EQ(lost.text,
@@ -95,9 +96,9 @@
         "service new-desk was never published\n");
 }
 
-// Symptom: a publish that succeeded is reported as lost. Sequence: the answer to its append is lost, it is made again,
-// and the second landing finds its own first one in force. Cause: a verdict taken from the second landing.
-TEST_F(PublishTest, IsItsOwnWinnerWhenAnswersAreLost)
+// The answer to an append is lost and the append is repeated, so that the second record finds the first already in
+// force. If the outcome were taken from the second record, a successful publish would be reported as refused.
+TEST_F(PublishTest, SucceedsWhenAnswersAreLost)
 {
     log_.loseAnswers = 2;
     EXPECT_EQ(send(1, first).code, ExitCode::Ok);
--- a/tests/ctl/TextTest.cpp
+++ b/tests/ctl/TextTest.cpp
@@ -13,11 +13,11 @@
     class FakeRouters final : public Routers {
     public:
         RouterAnswers answers;
-        std::string asked;
+        std::string lastTarget;
 
-        [[nodiscard]] RouterAnswers askAll(const std::string& target) override
+        [[nodiscard]] RouterAnswers queryAll(const std::string& target) override
         {
-            asked = target;
+            lastTarget = target;
             return answers;
         }
     };
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(LineDiff, NamesTheLinesThatDiffer)
+TEST(LineDiff, ListsTheLinesThatDiffer)
 {
     EXPECT_EQ(lineDiff("a\nb\nc\n", "a\nb\nc"), "");
     EXPECT_EQ(lineDiff("a\nb\nc\nd\n", "a\nx\nc\nd\ne\n"), "-2: b\n+2: x\n+5: e\n");
@@ -35,7 +35,7 @@
     EXPECT_EQ(lineDiff("a\nb\n", ""), "-1: a\n-2: b\n");
 }
 
-TEST(LineDiff, BoundsItsWork)
+TEST(LineDiff, FallsBackToFullReplacementForLargeTexts)
 {
     std::string before;
     std::string after;
@@ -58,9 +58,9 @@
         "n: 2\nvms:\npeer  x  y\np     -  -\nq     -  1\n");
 }
 
-// Symptom: during a partition an operator takes one router's view for the fleet's. Sequence: the domains are cut off,
-// each router sees only its own side. Cause: a command that asks one router. Each row is shown with those who see it.
-TEST(Routers, ShowsWhoSeesWhatAndWhoDidNotAnswer)
+// During a partition each router knows only the VMs of its own side. A command that queried one router would present
+// this partial view as the view of the whole fleet, so each row names the routers that reported it.
+TEST(Routers, NamesReportingRoutersOfEachRowAndRoutersWithoutAnswer)
 {
     FakeRouters routers;
     EXPECT_EQ(routerViews(routers, "vms").code, ExitCode::Unreachable);
@@ -69,7 +69,7 @@
     routers.answers = { { near, one, {} }, { far, other, {} }, { settings::Endpoint("x:1"), one, {} },
         { settings::Endpoint("y:1"), std::nullopt, "refused" } };
     const auto report = routerViews(routers, "vms");
-    EXPECT_EQ(routers.asked, "/vms");
+    EXPECT_EQ(routers.lastTarget, "/vms");
     EXPECT_EQ(report.text,
         "peer  seen_by                 state\n"
         "a     all                     -\n"
@@ -78,7 +78,7 @@
         "no answer from y:1 (refused)\n");
 }
 
-TEST(Routers, NamesTheVmsOfHolders)
+TEST(Routers, MapsIncarnationsToVms)
 {
     FakeRouters routers;
     routers.answers
@@ -87,12 +87,12 @@
     EXPECT_EQ(vmNames(routers), (VmNames { { "07", "p" }, { "08", "q" } }));
 }
 
-TEST(Routers, ExplainsARequestOrSaysThatNobodyKnowsIt)
+TEST(Routers, ExplainsARequestOrReportsThatNoRouterRemembersIt)
 {
     FakeRouters routers;
     routers.answers = { { near, Json::parse(R"({"request":"r/1","decisions":[]})"), {} } };
     const auto unknown = explainRequest(routers, "r/1");
-    EXPECT_EQ(routers.asked, "/explain?request=r%2F1");
+    EXPECT_EQ(routers.lastTarget, "/explain?request=r%2F1");
     EXPECT_EQ(unknown.code, ExitCode::Refused);
     routers.answers.push_back(
         { far, Json::parse(R"({"decisions":[{"kind":"route","ago_ms":12,"backend":"127.0.11.1:8100"}]})"), {} });
