--- a/apps/router/RouterProcess.cpp
+++ b/apps/router/RouterProcess.cpp
@@ -26,8 +26,9 @@
     /** Tick of the decision thread on a small VM. On a quarter of a CPU core each tick costs as much as a short
      * request, and nothing in the decision core needs a shorter tick. */
     constexpr Duration smallVmTick = 50ms;
-    /** A round trip within a region takes 3 ms, and a lost SYN packet is sent again only after a second: a connection
-     * that is not open after this time is better tried at another backend server. */
+    /** Timeout of connecting to a backend server. A round trip within a region takes 3 ms, and a lost SYN packet is
+     * sent again only after a second: a connection that is not open after this time is better tried at another backend
+     * server. */
     constexpr auto backendConnectTimeout = 200ms;
     /** Events queued for the decision thread beyond which new requests are refused. At about 1 ms a decision on a
      * quarter of a CPU core, they take a tenth of a second: a third of the shortest latency objective. */
@@ -41,17 +42,18 @@
      * another VM. */
     constexpr int acceptBacklog = 64;
     constexpr double bytesPerMegabit = 125'000;
-    /** Attempts in progress from which on the sockets are polled only every readBatchTime. Each stream has an event
-     * every 20 to 40 ms, so with this many streams packets of answers arrive faster than one in 4 ms. */
-    constexpr std::size_t minBatchedAttempts = 8;
+    /** Attempts in progress from which on the sockets are polled only every socketPollInterval. Each stream has an
+     * event every 20 to 40 ms, so with this many streams packets of answers arrive faster than one in 4 ms. */
+    constexpr std::size_t minPolledAttempts = 8;
     /** Interval at which the sockets are polled under load. What a request loses by this interval at each of its four
      * steps is a tenth of the shortest latency objective, 100 ms. */
-    constexpr auto readBatchTime = 4ms;
+    constexpr auto socketPollInterval = 4ms;
     /** Long poll of the log. A dead connection to the log has to be detected before a configuration is overdue, after
      * 2 s. */
     constexpr auto logPollWait = 1000ms;
-    /** Timeout of one read from or append to the log. */
+    /** Timeout of one append to the log, and of one read beyond its long poll. */
     constexpr auto logCallTimeout = 800ms;
+    /** Backoff of failed calls of the log: first and longest delay. */
     constexpr auto firstLogRetryDelay = 100ms;
     constexpr auto maxLogRetryDelay = 500ms;
     /** Parts that the time limit of a planned stop is divided into: 10 are for requests in progress, 1 is for callers
@@ -102,8 +104,8 @@
             limits.acceptBacklog = acceptBacklog;
             limits.linkBytesPerSecond = static_cast<std::uint64_t>(settings.vm.bandwidth * bytesPerMegabit);
             limits.readInterval = streamReadInterval;
-            limits.gatherFrom = minBatchedAttempts;
-            limits.gatherTime = readBatchTime;
+            limits.gatherFrom = minPolledAttempts;
+            limits.gatherTime = socketPollInterval;
         }
         return limits;
     }
