--- a/apps/load/Client.cpp
+++ b/apps/load/Client.cpp
@@ -27,10 +27,10 @@
     namespace http = boost::beast::http;
 
     constexpr std::size_t chunkBytes = 16 * 1024;
-    /** A connection that rested longer may just have been closed by the other side. */
-    constexpr std::chrono::seconds longestRest { 2 };
-    /** Beyond the deadline of a request: how long its last word may take. */
-    constexpr std::chrono::seconds grace { 5 };
+    /** The server may already have closed a connection that was idle for longer. */
+    constexpr std::chrono::seconds maxIdleTime { 2 };
+    /** Added to the request's deadline before the client times out, so that the final line can still arrive. */
+    constexpr std::chrono::seconds deadlineMargin { 5 };
     constexpr auto useAwaitable = asio::use_awaitable;
 
     [[nodiscard]] std::chrono::microseconds elapsed(
@@ -72,7 +72,7 @@
 {
     asio::steady_timer timer(context_);
     for (const Arrival& arrival : schedule) {
-        timer.expires_at(scheduled(arrival));
+        timer.expires_at(scheduledTime(arrival));
         co_await timer.async_wait(useAwaitable);
         asio::co_spawn(context_, sendOne(arrival), asio::detached);
     }
@@ -82,32 +82,33 @@
 {
     Result result;
     result.arrival = arrival;
-    result.late = elapsed(scheduled(arrival), Clock::now());
+    result.late = elapsed(scheduledTime(arrival), Clock::now());
     try {
         co_await exchange(arrival, result);
     } catch (const boost::system::system_error& error) {
-        // Whatever was read before, the answer did not come whole.
-        result.kind = Kind::Error;
+        // The response is incomplete, even if an outcome was already parsed.
+        result.kind = ResultKind::Error;
         result.reason = error.code() == beast::error::timeout ? "timeout" : error.code().message();
     }
-    result.whole = elapsed(scheduled(arrival), Clock::now());
+    result.whole = elapsed(scheduledTime(arrival), Clock::now());
     results_.push_back(std::move(result));
 }
 
 asio::awaitable<void> Client::exchange(const Arrival& arrival, Result& result)
 {
     Pool& pool = poolOf(arrival);
-    StreamPtr stream = co_await connection(targetOf(arrival), pool);
-    stream->expires_after(options_.deadline + grace);
+    StreamPtr stream = co_await acquireConnection(targetOf(arrival), pool);
+    stream->expires_after(options_.deadline + deadlineMargin);
     const HttpRequest request = arrival.direct ? engineRequest(arrival, options_) : routerRequest(arrival, options_);
     co_await http::async_write(*stream, request, useAwaitable);
 
     beast::flat_buffer buffer;
     http::response_parser<http::buffer_body> parser;
-    // "No limit" of this Beast refuses every body whose length is told, and so would make errors of refusals.
+    // In this version of Beast, body_limit(boost::none) rejects every body with a Content-Length, which would turn
+    // refusals into errors.
     parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     co_await http::async_read_header(*stream, buffer, parser, useAwaitable);
-    AnswerLines lines(result, scheduled(arrival));
+    AnswerLines answerParser(result, scheduledTime(arrival));
     std::array<char, chunkBytes> chunk {};
     while (!parser.is_done()) {
         parser.get().body().data = chunk.data();
@@ -117,21 +118,21 @@
         if (error && error != http::error::need_buffer) {
             throw boost::system::system_error(error);
         }
-        lines.take({ chunk.data(), chunk.size() - parser.get().body().size }, Clock::now());
+        answerParser.consume({ chunk.data(), chunk.size() - parser.get().body().size }, Clock::now());
     }
-    lines.finish(static_cast<int>(parser.get().result_int()));
+    answerParser.finish(static_cast<int>(parser.get().result_int()));
     if (parser.get().keep_alive()) {
         stream->expires_never();
         pool.push_back({ std::move(stream), Clock::now() });
     }
 }
 
-asio::awaitable<Client::StreamPtr> Client::connection(const Target& target, Pool& pool)
+asio::awaitable<Client::StreamPtr> Client::acquireConnection(const Target& target, Pool& pool)
 {
     while (!pool.empty()) {
-        Idle idle = std::move(pool.back());
+        IdleConnection idle = std::move(pool.back());
         pool.pop_back();
-        if (Clock::now() - idle.since < longestRest) {
+        if (Clock::now() - idle.idleSince < maxIdleTime) {
             co_return std::move(idle.stream);
         }
         pool.clear();
--- a/apps/load/Client.h
+++ b/apps/load/Client.h
@@ -18,13 +18,13 @@
 namespace swiftlift::load {
 
 /**
- * @brief Sends the schedule in one thread: a coroutine for each request, connections kept and used again.
+ * @brief Sends the scheduled requests from one thread, one coroutine per request, and reuses idle connections.
  */
 class Client {
 public:
     explicit Client(const Options& options);
 
-    /** @return A result for each arrival, in the order in which they ended. */
+    /** @return One result per arrival, in the order in which the requests ended. */
     [[nodiscard]] std::vector<Result> run(const std::vector<Arrival>& schedule);
 
 private:
@@ -32,19 +32,21 @@
     using Stream = boost::beast::tcp_stream;
     using StreamPtr = std::unique_ptr<Stream>;
 
-    struct Idle {
+    struct IdleConnection {
         StreamPtr stream;
-        Clock::time_point since;
+        Clock::time_point idleSince;
     };
-    using Pool = std::deque<Idle>;
+    using Pool = std::deque<IdleConnection>;
 
     boost::asio::awaitable<void> sendAll(const std::vector<Arrival>& schedule);
     boost::asio::awaitable<void> sendOne(Arrival arrival);
+    /** @brief Sends one request and reads its response into the result. Throws system_error if the connection fails. */
     boost::asio::awaitable<void> exchange(const Arrival& arrival, Result& result);
-    boost::asio::awaitable<StreamPtr> connection(const Target& target, Pool& pool);
+    /** @return An idle connection from the pool, or a new one. */
+    boost::asio::awaitable<StreamPtr> acquireConnection(const Target& target, Pool& pool);
     [[nodiscard]] const Target& targetOf(const Arrival& arrival) const;
     [[nodiscard]] Pool& poolOf(const Arrival& arrival);
-    [[nodiscard]] Clock::time_point scheduled(const Arrival& arrival) const { return start_ + arrival.due; }
+    [[nodiscard]] Clock::time_point scheduledTime(const Arrival& arrival) const { return start_ + arrival.due; }
 
     const Options& options_;
     boost::asio::io_context context_;
--- a/apps/load/Main.cpp
+++ b/apps/load/Main.cpp
@@ -22,14 +22,14 @@
     const auto start = std::chrono::steady_clock::now();
     Client client(options);
     const auto results = client.run(schedule);
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - start;
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
     Summary summary = summarise(results);
-    summary.processes = compare(before, readProcesses(options.processes));
-    summary.seconds = took.count();
+    summary.processes = compareReadings(before, readProcesses(options.processes));
+    summary.seconds = elapsed.count();
     return summary;
 }
 
-[[nodiscard]] bool write(const Options& options, const Summary& summary)
+[[nodiscard]] bool writeResults(const Options& options, const Summary& summary)
 {
     if (options.jsonFile == "-") {
         std::cout << toJson(options, summary) << '\n';
@@ -43,7 +43,7 @@
     out << toJson(options, summary) << '\n';
     out.close();
     if (!out) {
-        std::cerr << options.jsonFile << ": can't be written\n";
+        std::cerr << options.jsonFile << ": cannot write the JSON results\n";
     }
     return static_cast<bool>(out);
 }
@@ -66,7 +66,7 @@
         return 0;
     }
     try {
-        return write(options, runLoad(options)) ? 0 : 1;
+        return writeResults(options, runLoad(options)) ? 0 : 1;
     } catch (const std::exception& error) {
         std::cerr << "swiftlift-load: " << error.what() << '\n';
         return 1;
--- a/apps/load/Options.cpp
+++ b/apps/load/Options.cpp
@@ -44,27 +44,28 @@
 
 namespace {
 
-    constexpr std::uint32_t mostTokens = 1'000'000;
-    constexpr double mostRate = 100'000;
-    constexpr int mostSeconds = 3'600;
+    constexpr std::uint32_t maxCount = 1'000'000;
+    /** Arrivals per second. */
+    constexpr double maxRate = 100'000;
+    constexpr int maxSeconds = 3'600;
 
-    /** @brief Reads values of options, and notes what can't be read. */
-    class Reader {
+    /** @brief Parses option values and reports invalid ones as findings. */
+    class OptionReader {
     public:
-        explicit Reader(Findings& findings)
+        explicit OptionReader(Findings& findings)
             : findings_(findings)
         {
         }
 
         template <typename Number>
-        void number(const std::string& name, std::string_view text, Number& value, Number least, Number most)
+        void number(const std::string& name, std::string_view text, Number& value, Number min, Number max)
         {
             Number read {};
             const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), read);
-            if (error != std::errc {} || end != text.data() + text.size() || read < least || read > most) {
-                std::ostringstream wanted;
-                wanted << "takes a number from " << least << " to " << most;
-                report(name, wanted.str());
+            if (error != std::errc {} || end != text.data() + text.size() || read < min || read > max) {
+                std::ostringstream expected;
+                expected << "takes a number from " << min << " to " << max;
+                report(name, expected.str());
                 return;
             }
             value = read;
@@ -82,13 +83,13 @@
             targets.push_back(std::move(target));
         }
 
-        void range(const std::string& name, std::string_view text, std::uint32_t& least, std::uint32_t& most)
+        void range(const std::string& name, std::string_view text, std::uint32_t& min, std::uint32_t& max)
         {
             const auto dash = text.find('-');
-            number<std::uint32_t>(name, text.substr(0, dash), least, 1, mostTokens);
-            most = least;
+            number<std::uint32_t>(name, text.substr(0, dash), min, 1, maxCount);
+            max = min;
             if (dash != std::string_view::npos) {
-                number<std::uint32_t>(name, text.substr(dash + 1), most, least, mostTokens);
+                number<std::uint32_t>(name, text.substr(dash + 1), max, min, maxCount);
             }
         }
 
@@ -110,11 +111,12 @@
                 if (words >> account.name >> account.key) {
                     accounts.push_back(std::move(account));
                 } else if (!line.empty()) {
-                    findings_.push_back({ file, number, 1, "needs a name and a key" });
+                    findings_.push_back(
+                        { file, number, 1, "expected an account name and a key, separated by a space" });
                 }
             }
             if (accounts.empty()) {
-                report(name, file + " names no account");
+                report(name, file + " contains no account");
             }
         }
 
@@ -127,8 +129,9 @@
         Findings& findings_;
     };
 
+    /** @brief Parses the value of the option `name` into the options, or into the single account. */
     void readOption(
-        const std::string& name, const std::string& text, Options& options, Account& account, Reader& reader)
+        const std::string& name, const std::string& text, Options& options, Account& account, OptionReader& reader)
     {
         int seconds = 0;
         if (name == "router") {
@@ -144,30 +147,30 @@
         } else if (name == "accounts") {
             reader.accounts(name, text, options.accounts);
         } else if (name == "rate") {
-            reader.number<double>(name, text, options.rate, 0.01, mostRate);
+            reader.number<double>(name, text, options.rate, 0.01, maxRate);
         } else if (name == "duration") {
-            reader.number<int>(name, text, seconds, 1, mostSeconds);
+            reader.number<int>(name, text, seconds, 1, maxSeconds);
             options.duration = std::chrono::seconds(seconds);
         } else if (name == "warm-up") {
-            reader.number<int>(name, text, seconds, 0, mostSeconds);
+            reader.number<int>(name, text, seconds, 0, maxSeconds);
             options.warmUp = std::chrono::seconds(seconds);
         } else if (name == "prompt-tokens") {
-            reader.range(name, text, options.promptTokensLeast, options.promptTokensMost);
+            reader.range(name, text, options.minPromptTokens, options.maxPromptTokens);
         } else if (name == "shared-prefixes") {
             reader.number<double>(name, text, options.sharedPrefixShare, 0, 1);
         } else if (name == "prefixes") {
-            reader.number<std::uint32_t>(name, text, options.prefixes, 1, mostTokens);
+            reader.number<std::uint32_t>(name, text, options.prefixes, 1, maxCount);
         } else if (name == "poison-every") {
-            reader.number<std::uint32_t>(name, text, options.poisonEvery, 0, mostTokens);
+            reader.number<std::uint32_t>(name, text, options.poisonInterval, 0, maxCount);
         } else if (name == "max-tokens") {
-            reader.number<std::uint32_t>(name, text, options.maxTokens, 1, mostTokens);
+            reader.number<std::uint32_t>(name, text, options.maxTokens, 1, maxCount);
         } else if (name == "stream") {
             reader.onOff(name, text, options.stream);
         } else if (name == "non-idempotent") {
             reader.number<double>(name, text, options.nonIdempotentShare, 0, 1);
         } else if (name == "deadline-ms") {
             int milliseconds = 0;
-            reader.number<int>(name, text, milliseconds, 1, mostSeconds * 1000);
+            reader.number<int>(name, text, milliseconds, 1, maxSeconds * 1000);
             options.deadline = std::chrono::milliseconds(milliseconds);
         } else if (name == "seed") {
             reader.number<std::uint64_t>(name, text, options.seed, 0, UINT64_MAX);
@@ -178,16 +181,17 @@
         }
     }
 
-    void checkWhole(const Options& options, Reader& reader)
+    /** @brief Reports required options that are missing. */
+    void checkRequiredOptions(const Options& options, OptionReader& reader)
     {
         if (options.routers.empty() && options.engines.empty()) {
-            reader.report("router", "at least one target is needed");
+            reader.report("router", "at least one --router or --direct is required");
         }
         if (!options.routers.empty() && options.service.empty()) {
-            reader.report("service", "is needed with --router");
+            reader.report("service", "is required with --router");
         }
         if (!options.routers.empty() && options.accounts.empty()) {
-            reader.report("account", "is needed with --router, or --accounts");
+            reader.report("account", "--account or --accounts is required with --router");
         }
     }
 
@@ -198,26 +202,26 @@
     static const char* const names[] = { "router", "direct", "service", "account", "key", "accounts", "rate",
         "duration", "warm-up", "prompt-tokens", "shared-prefixes", "prefixes", "poison-every", "max-tokens", "stream",
         "non-idempotent", "deadline-ms", "seed", "process", "json" };
-    constexpr int helpLetter = 'h';
-    std::vector<option> known;
+    constexpr int helpOptionCode = 'h';
+    std::vector<option> longOptions;
     for (const char* name : names) {
-        known.push_back({ name, required_argument, nullptr, 0 });
+        longOptions.push_back({ name, required_argument, nullptr, 0 });
     }
-    known.push_back({ "help", no_argument, nullptr, helpLetter });
-    known.push_back({ nullptr, 0, nullptr, 0 });
+    longOptions.push_back({ "help", no_argument, nullptr, helpOptionCode });
+    longOptions.push_back({ nullptr, 0, nullptr, 0 });
 
     Options options;
     Account account;
-    Reader reader(findings);
+    OptionReader reader(findings);
     optind = 1;
     int index = 0;
-    for (int letter = 0; (letter = getopt_long(argc, argv, "h", known.data(), &index)) != -1;) {
-        if (letter == helpLetter) {
+    for (int optionCode = 0; (optionCode = getopt_long(argc, argv, "h", longOptions.data(), &index)) != -1;) {
+        if (optionCode == helpOptionCode) {
             options.help = true;
-        } else if (letter == 0) {
-            readOption(known[static_cast<std::size_t>(index)].name, optarg, options, account, reader);
+        } else if (optionCode == 0) {
+            readOption(longOptions[static_cast<std::size_t>(index)].name, optarg, options, account, reader);
         } else {
-            reader.report("?", "unknown option or a value missing");
+            reader.report("?", "unknown option or missing value");
         }
     }
     if (optind != argc) {
@@ -227,7 +231,7 @@
         options.accounts.push_back(account);
     }
     if (!options.help) {
-        checkWhole(options, reader);
+        checkRequiredOptions(options, reader);
     }
     return options;
 }
--- a/apps/load/Options.h
+++ b/apps/load/Options.h
@@ -9,7 +9,7 @@
 
 namespace swiftlift::load {
 
-/** `ip:port` of a router's callers' listener or of an engine. */
+/** Address of a router's listener for callers, or of an engine. */
 struct Target {
     std::string host;
     std::uint16_t port = 0;
@@ -17,6 +17,7 @@
     [[nodiscard]] bool operator==(const Target&) const = default;
 };
 
+/** Client account whose credentials the requests carry. */
 struct Account {
     std::string name;
     std::string key;
@@ -24,42 +25,45 @@
     [[nodiscard]] bool operator==(const Account&) const = default;
 };
 
+/** Command-line options of swiftlift-load. */
 struct Options {
     std::vector<Target> routers;
-    /** Engines that get a paired load straight; empty: no direct arm. */
+    /** Engines that receive the paired requests directly, without a router; empty: no direct arm. */
     std::vector<Target> engines;
     std::vector<Account> accounts;
     std::string service;
-    /** Arrivals a second, to each arm. */
+    /** Arrivals per second in each arm. */
     double rate = 10;
     std::chrono::seconds duration { 10 };
-    /** Arrivals before this are sent and not counted. */
+    /** Arrivals before this time are sent, but left out of the results. */
     std::chrono::seconds warmUp { 0 };
-    std::uint32_t promptTokensLeast = 100;
-    std::uint32_t promptTokensMost = 100;
-    /** Share of the prompts that begin with one of `prefixes` common prefixes. */
+    std::uint32_t minPromptTokens = 100;
+    std::uint32_t maxPromptTokens = 100;
+    /** Share of prompts, 0 to 1, that begin with one of `prefixes` common prefixes. */
     double sharedPrefixShare = 0;
     std::uint32_t prefixes = 8;
-    /** Each so many arrivals, one asks for the same as the last such one, its prompt beginning with `poison`; 0: none.
-     */
-    std::uint32_t poisonEvery = 0;
+    /** Every n-th arrival sends the same prompt, which begins with `poison`; 0: none. */
+    std::uint32_t poisonInterval = 0;
     std::uint32_t maxTokens = 64;
     bool stream = true;
+    /** Share of requests, 0 to 1, that may run only once. */
     double nonIdempotentShare = 0;
     std::chrono::milliseconds deadline { 30'000 };
     std::uint64_t seed = 1;
-    /** Processes whose processor time and memory are read before and after. */
+    /** Ids of the processes whose processor time and memory are read before and after the run. */
     std::vector<int> processes;
-    /** Empty: no JSON. `-`: standard output, in place of the table. */
+    /** File for the JSON results. Empty: no JSON. `-`: standard output, instead of the table. */
     std::string jsonFile;
     bool help = false;
 };
 
+/** Text of --help. */
 extern const char* const usage;
 
 /**
- * @param findings Takes all that is wrong with the command line.
- * @return The options; to be used only when nothing was found.
+ * @brief Parses the command line.
+ * @param findings Receives one finding per error in the command line.
+ * @return The options; valid only if no finding was added.
  */
 [[nodiscard]] Options parseOptions(int argc, char** argv, Findings& findings);
 
--- a/apps/load/Percentiles.cpp
+++ b/apps/load/Percentiles.cpp
@@ -13,14 +13,14 @@
     [[nodiscard]] double nearestRank(std::vector<double>& values, double share)
     {
         const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
-        const auto place = values.begin() + static_cast<std::ptrdiff_t>(std::max<std::size_t>(rank, 1) - 1);
-        std::nth_element(values.begin(), place, values.end());
-        return *place;
+        const auto position = values.begin() + static_cast<std::ptrdiff_t>(std::max<std::size_t>(rank, 1) - 1);
+        std::nth_element(values.begin(), position, values.end());
+        return *position;
     }
 
 } // namespace
 
-Percentiles percentilesOf(std::vector<double> milliseconds)
+Percentiles computePercentiles(std::vector<double> milliseconds)
 {
     if (milliseconds.empty()) {
         return {};
--- a/apps/load/Percentiles.h
+++ b/apps/load/Percentiles.h
@@ -6,7 +6,7 @@
 
 namespace swiftlift::load {
 
-/** Milliseconds. */
+/** Count, mean, percentiles and maximum (`most`) of a set of durations, in milliseconds. */
 struct Percentiles {
     std::size_t count = 0;
     double mean = 0;
@@ -16,8 +16,8 @@
     double most = 0;
 };
 
-/** @return Exact percentiles by nearest rank; all zero without values. */
-[[nodiscard]] Percentiles percentilesOf(std::vector<double> milliseconds);
+/** @return Exact percentiles by the nearest-rank method; all zero if there are no values. */
+[[nodiscard]] Percentiles computePercentiles(std::vector<double> milliseconds);
 
 [[nodiscard]] double toMilliseconds(std::chrono::microseconds time) noexcept;
 
--- a/apps/load/Processes.cpp
+++ b/apps/load/Processes.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    /** @return The peak that the kernel tells in kB; 0 when it does not. */
-    [[nodiscard]] double readPeak(int process)
+    /** @return Peak resident memory in bytes, which /proc reports in kB; 0 if it is not reported. */
+    [[nodiscard]] double readPeakBytes(int process)
     {
         constexpr double bytesPerKilobyte = 1024;
         std::ifstream in("/proc/" + std::to_string(process) + "/status");
@@ -36,7 +36,8 @@
     if (!std::getline(in, text)) {
         return reading;
     }
-    // The name stands in brackets and may hold blanks; what follows is numbers: state, 10 others, user and system time.
+    // The process name is in parentheses and may contain spaces. The fields after it are the state, 10 others, and
+    // the user and system time.
     std::istringstream fields(text.substr(text.rfind(')') + 2));
     constexpr int fieldsBeforeTimes = 11;
     constexpr int fieldsBeforeThreads = 4;
@@ -59,7 +60,7 @@
     reading.found = static_cast<bool>(fields);
     reading.processorSeconds = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
     reading.residentBytes = resident * static_cast<double>(sysconf(_SC_PAGESIZE));
-    reading.peakBytes = readPeak(process);
+    reading.peakBytes = readPeakBytes(process);
     return reading;
 }
 
--- a/apps/load/Processes.h
+++ b/apps/load/Processes.h
@@ -4,14 +4,16 @@
 
 namespace swiftlift::load {
 
-/** What the kernel says of a process. */
+/** Resource usage of a process, read from /proc. */
 struct ProcessReading {
+    /** Process id. */
     int process = 0;
-    /** False: there is no such process. */
+    /** False: no process has this id. */
     bool found = false;
+    /** User and system time since the process started. */
     double processorSeconds = 0;
     double residentBytes = 0;
-    /** Most ever resident. */
+    /** Maximum resident memory since the process started. */
     double peakBytes = 0;
     double threads = 0;
 };
--- a/apps/load/Report.h
+++ b/apps/load/Report.h
@@ -8,9 +8,10 @@
 
 namespace swiftlift::load {
 
+/** @brief Writes the results as a table for reading on a terminal. */
 void writeTable(std::ostream& out, const Summary& summary);
 
-/** @return The run's options that matter to its figures, and the figures. */
+/** @return JSON with the results and the options that affect them. */
 [[nodiscard]] std::string toJson(const Options& options, const Summary& summary);
 
 } // namespace swiftlift::load
--- a/apps/load/Requests.cpp
+++ b/apps/load/Requests.cpp
@@ -16,14 +16,14 @@
 
     constexpr int httpVersion = 11;
 
-    [[nodiscard]] HttpRequest postOf(
+    [[nodiscard]] HttpRequest makePost(
         const std::string& path, const Target& target, const Arrival& arrival, const Options& options)
     {
         HttpRequest request { http::verb::post, path, httpVersion };
         request.set(http::field::host, target.host + ':' + std::to_string(target.port));
         request.set(http::field::content_type, "application/json");
         request.body() = nlohmann::json {
-            { "prompt", promptOf(arrival, options.seed) }, { "max_tokens", options.maxTokens }
+            { "prompt", makePrompt(arrival, options.seed) }, { "max_tokens", options.maxTokens }
         }.dump();
         request.prepare_payload();
         return request;
@@ -42,7 +42,7 @@
 {
     const Account& account = options.accounts[arrival.account];
     HttpRequest request
-        = postOf("/v1/services/" + options.service + "/requests", options.routers[arrival.target], arrival, options);
+        = makePost("/v1/services/" + options.service + "/requests", options.routers[arrival.target], arrival, options);
     request.set(http::field::authorization, "Bearer " + account.key);
     request.set("Swiftlift-Account", account.name);
     request.set("Swiftlift-Request-Id", "load-" + std::to_string(options.seed) + '-' + std::to_string(arrival.pair));
@@ -54,7 +54,7 @@
 
 HttpRequest engineRequest(const Arrival& arrival, const Options& options)
 {
-    HttpRequest request = postOf("/generate", options.engines[arrival.target], arrival, options);
+    HttpRequest request = makePost("/generate", options.engines[arrival.target], arrival, options);
     request.set("X-Request-Key", hexKey(arrival, options));
     request.set("X-Attempt-Id", "direct-" + std::to_string(arrival.pair));
     request.set("X-Priority", "1");
--- a/apps/load/Result.h
+++ b/apps/load/Result.h
@@ -9,26 +9,29 @@
 
 namespace swiftlift::load {
 
-enum class Kind : std::uint8_t {
-    /** Whole: every token in order, and the last line as it has to be. */
+/** Outcome of a request, as the client saw it. */
+enum class ResultKind : std::uint8_t {
+    /** Complete answer: every token in order, and a valid final line. */
     Answered,
     Refused,
     Unknown,
-    /** Of the connection or the protocol: what the client saw is no answer that the protocol knows. */
+    /** Connection error, or a response that violates the protocol. */
     Error,
 };
 
-/** What came of one request. */
+/** Outcome and timing of one request. */
 struct Result {
     Arrival arrival;
-    Kind kind = Kind::Error;
-    /** Of all but answers. */
+    ResultKind kind = ResultKind::Error;
+    /** Reason code; empty for answered requests. */
     std::string reason;
-    /** How much later than scheduled it was sent. */
+    /** Delay between the scheduled time and the time of sending. */
     std::chrono::microseconds late {};
-    /** From the scheduled moment; zero when none came. */
+    /** Time from the scheduled time to the first token; zero if no token arrived. */
     std::chrono::microseconds firstToken {};
+    /** Time from the scheduled time to the end of the request. */
     std::chrono::microseconds whole {};
+    /** Times between successive tokens. */
     std::vector<std::chrono::microseconds> gaps;
     std::uint64_t tokens = 0;
     std::uint64_t bytes = 0;
--- a/apps/load/Schedule.cpp
+++ b/apps/load/Schedule.cpp
@@ -8,7 +8,7 @@
 namespace {
 
     constexpr std::size_t bytesPerToken = 4;
-    /** Engines recognise a prefix by its first bytes; a common one is longer than that. */
+    /** Engines compare only the first bytes of a prefix; a common prefix is longer than those. */
     constexpr std::size_t prefixBytes = 320;
     constexpr std::size_t poisonBytes = 400;
     constexpr double microsecondsPerSecond = 1e6;
@@ -18,7 +18,7 @@
         return std::chrono::microseconds(static_cast<std::int64_t>(seconds * microsecondsPerSecond));
     }
 
-    [[nodiscard]] std::string repeatTo(const std::string& text, std::size_t size)
+    [[nodiscard]] std::string repeatToSize(const std::string& text, std::size_t size)
     {
         std::string result;
         result.reserve(size + text.size());
@@ -29,43 +29,43 @@
         return result;
     }
 
-    /** @brief Draws arrivals one after the other. */
-    class Drawing {
+    /** @brief Generates successive random arrivals. */
+    class ArrivalGenerator {
     public:
-        explicit Drawing(const Options& options)
+        explicit ArrivalGenerator(const Options& options)
             : options_(options)
             , random_(options.seed)
         {
         }
 
-        [[nodiscard]] Arrival next(double at)
+        [[nodiscard]] Arrival nextArrival(double atSeconds)
         {
             Arrival arrival;
-            arrival.due = fromSeconds(at);
+            arrival.due = fromSeconds(atSeconds);
             arrival.pair = ++pair_;
             arrival.promptTokens = std::uniform_int_distribution<std::uint32_t>(
-                options_.promptTokensLeast, options_.promptTokensMost)(random_);
-            if (chance(options_.sharedPrefixShare)) {
-                arrival.prefix = 1 + below(options_.prefixes);
+                options_.minPromptTokens, options_.maxPromptTokens)(random_);
+            if (randomBool(options_.sharedPrefixShare)) {
+                arrival.prefix = 1 + randomIndex(options_.prefixes);
             }
-            arrival.idempotent = !chance(options_.nonIdempotentShare);
+            arrival.idempotent = !randomBool(options_.nonIdempotentShare);
             if (!options_.accounts.empty()) {
-                arrival.account = below(options_.accounts.size());
+                arrival.account = randomIndex(options_.accounts.size());
             }
-            arrival.poison = options_.poisonEvery > 0 && pair_ % options_.poisonEvery == 0;
+            arrival.poison = options_.poisonInterval > 0 && pair_ % options_.poisonInterval == 0;
             arrival.counted = arrival.due >= options_.warmUp;
             return arrival;
         }
 
-        [[nodiscard]] double gap() { return std::exponential_distribution<double>(options_.rate)(random_); }
-        [[nodiscard]] bool coin() { return chance(0.5); }
-        [[nodiscard]] std::uint32_t below(std::size_t count)
+        [[nodiscard]] double nextGap() { return std::exponential_distribution<double>(options_.rate)(random_); }
+        [[nodiscard]] bool flipCoin() { return randomBool(0.5); }
+        [[nodiscard]] std::uint32_t randomIndex(std::size_t count)
         {
             return std::uniform_int_distribution<std::uint32_t>(0, static_cast<std::uint32_t>(count - 1))(random_);
         }
 
     private:
-        [[nodiscard]] bool chance(double share) { return std::bernoulli_distribution(share)(random_); }
+        [[nodiscard]] bool randomBool(double share) { return std::bernoulli_distribution(share)(random_); }
 
         const Options& options_;
         std::mt19937_64 random_;
@@ -76,25 +76,25 @@
 
 std::vector<Arrival> makeSchedule(const Options& options)
 {
-    const auto total = static_cast<double>((options.warmUp + options.duration).count());
-    const auto twinGap = fromSeconds(0.5 / options.rate);
+    const auto totalSeconds = static_cast<double>((options.warmUp + options.duration).count());
+    const auto twinDelay = fromSeconds(0.5 / options.rate);
     std::vector<Arrival> schedule;
-    Drawing drawing(options);
+    ArrivalGenerator generator(options);
     std::size_t router = 0;
-    for (double at = drawing.gap(); at < total; at += drawing.gap()) {
-        const Arrival common = drawing.next(at);
-        const bool directFirst = drawing.coin();
+    for (double atSeconds = generator.nextGap(); atSeconds < totalSeconds; atSeconds += generator.nextGap()) {
+        const Arrival common = generator.nextArrival(atSeconds);
+        const bool directFirst = generator.flipCoin();
         if (!options.routers.empty()) {
             Arrival routed = common;
             routed.target = router++ % options.routers.size();
-            routed.due += directFirst && !options.engines.empty() ? twinGap : std::chrono::microseconds {};
+            routed.due += directFirst && !options.engines.empty() ? twinDelay : std::chrono::microseconds {};
             schedule.push_back(routed);
         }
         if (!options.engines.empty()) {
             Arrival direct = common;
             direct.direct = true;
-            direct.target = drawing.below(options.engines.size());
-            direct.due += directFirst || options.routers.empty() ? std::chrono::microseconds {} : twinGap;
+            direct.target = generator.randomIndex(options.engines.size());
+            direct.due += directFirst || options.routers.empty() ? std::chrono::microseconds {} : twinDelay;
             schedule.push_back(direct);
         }
     }
@@ -103,21 +103,21 @@
     return schedule;
 }
 
-std::string promptOf(const Arrival& arrival, std::uint64_t seed)
+std::string makePrompt(const Arrival& arrival, std::uint64_t seed)
 {
     if (arrival.poison) {
-        return repeatTo("poison in the thread; ", poisonBytes);
+        return repeatToSize("poison in the thread; ", poisonBytes);
     }
     const std::string arm = arrival.direct ? "direct" : "routed";
     const std::size_t size = arrival.promptTokens * bytesPerToken;
-    const std::string own
+    const std::string uniqueText
         = arm + ' ' + std::to_string(seed) + ' ' + std::to_string(arrival.pair) + " order of jerseys; ";
     if (arrival.prefix == 0) {
-        return repeatTo(own, size);
+        return repeatToSize(uniqueText, size);
     }
     const std::string common = arm + " rules of the shop, part " + std::to_string(arrival.prefix) + "; ";
-    std::string prompt = repeatTo(common, std::min(size, prefixBytes));
-    return prompt + repeatTo(own, size - prompt.size());
+    std::string prompt = repeatToSize(common, std::min(size, prefixBytes));
+    return prompt + repeatToSize(uniqueText, size - prompt.size());
 }
 
 } // namespace swiftlift::load
--- a/apps/load/Summary.cpp
+++ b/apps/load/Summary.cpp
@@ -13,30 +13,30 @@
         std::vector<double> late;
     };
 
-    void count(const Result& result, ArmSummary& arm)
+    void countResult(const Result& result, ArmSummary& arm)
     {
         ++arm.sent;
         switch (result.kind) {
-        case Kind::Answered:
+        case ResultKind::Answered:
             ++arm.answered;
             arm.tokens += result.tokens;
             break;
-        case Kind::Refused:
+        case ResultKind::Refused:
             ++arm.refused[result.reason];
             break;
-        case Kind::Unknown:
+        case ResultKind::Unknown:
             ++arm.unknown[result.reason];
             break;
-        case Kind::Error:
+        case ResultKind::Error:
             ++arm.errors[result.reason];
             break;
         }
     }
 
-    void sample(const Result& result, Samples& samples)
+    void addSamples(const Result& result, Samples& samples)
     {
         samples.late.push_back(toMilliseconds(result.late));
-        if (result.kind != Kind::Answered) {
+        if (result.kind != ResultKind::Answered) {
             return;
         }
         samples.whole.push_back(toMilliseconds(result.whole));
@@ -48,20 +48,20 @@
         }
     }
 
-    [[nodiscard]] ArmSummary armOf(const std::vector<Result>& results, bool direct)
+    [[nodiscard]] ArmSummary summariseArm(const std::vector<Result>& results, bool direct)
     {
         ArmSummary arm;
         Samples samples;
         for (const Result& result : results) {
             if (result.arrival.counted && result.arrival.direct == direct) {
-                count(result, arm);
-                sample(result, samples);
+                countResult(result, arm);
+                addSamples(result, samples);
             }
         }
-        arm.firstToken = percentilesOf(std::move(samples.firstToken));
-        arm.betweenTokens = percentilesOf(std::move(samples.betweenTokens));
-        arm.whole = percentilesOf(std::move(samples.whole));
-        arm.late = percentilesOf(std::move(samples.late));
+        arm.firstToken = computePercentiles(std::move(samples.firstToken));
+        arm.betweenTokens = computePercentiles(std::move(samples.betweenTokens));
+        arm.whole = computePercentiles(std::move(samples.whole));
+        arm.late = computePercentiles(std::move(samples.late));
         return arm;
     }
 
@@ -71,11 +71,11 @@
         return toMilliseconds(sum) / static_cast<double>(result.gaps.size());
     }
 
-    [[nodiscard]] AddedSummary addedOf(const std::vector<Result>& results)
+    [[nodiscard]] AddedSummary summariseDifferences(const std::vector<Result>& results)
     {
         std::map<std::uint64_t, const Result*> direct;
         for (const Result& result : results) {
-            if (result.arrival.counted && result.arrival.direct && result.kind == Kind::Answered) {
+            if (result.arrival.counted && result.arrival.direct && result.kind == ResultKind::Answered) {
                 direct[result.arrival.pair] = &result;
             }
         }
@@ -83,7 +83,7 @@
         Samples samples;
         for (const Result& routed : results) {
             const auto twin = direct.find(routed.arrival.pair);
-            const bool paired = routed.arrival.counted && !routed.arrival.direct && routed.kind == Kind::Answered
+            const bool paired = routed.arrival.counted && !routed.arrival.direct && routed.kind == ResultKind::Answered
                 && twin != direct.end();
             if (!paired) {
                 continue;
@@ -98,9 +98,9 @@
                 samples.betweenTokens.push_back(meanGap(routed) - meanGap(other));
             }
         }
-        added.firstToken = percentilesOf(std::move(samples.firstToken));
-        added.betweenTokens = percentilesOf(std::move(samples.betweenTokens));
-        added.whole = percentilesOf(std::move(samples.whole));
+        added.firstToken = computePercentiles(std::move(samples.firstToken));
+        added.betweenTokens = computePercentiles(std::move(samples.betweenTokens));
+        added.whole = computePercentiles(std::move(samples.whole));
         return added;
     }
 
@@ -109,13 +109,14 @@
 Summary summarise(const std::vector<Result>& results)
 {
     Summary summary;
-    summary.routed = armOf(results, false);
-    summary.direct = armOf(results, true);
-    summary.added = addedOf(results);
+    summary.routed = summariseArm(results, false);
+    summary.direct = summariseArm(results, true);
+    summary.added = summariseDifferences(results);
     return summary;
 }
 
-std::vector<ProcessSummary> compare(const std::vector<ProcessReading>& before, const std::vector<ProcessReading>& after)
+std::vector<ProcessSummary> compareReadings(
+    const std::vector<ProcessReading>& before, const std::vector<ProcessReading>& after)
 {
     std::vector<ProcessSummary> result;
     for (std::size_t index = 0; index < before.size() && index < after.size(); ++index) {
--- a/tests/load/OptionsTest.cpp
+++ b/tests/load/OptionsTest.cpp
@@ -19,7 +19,7 @@
         return parseOptions(static_cast<int>(words.size()), arguments.data(), findings);
     }
 
-    TEST(Options, AreReadWhole)
+    TEST(Options, ParsesAllGivenOptions)
     {
         Findings findings;
         const Options options = parse({ "--router", "127.0.1.1:8000", "--router", "127.0.1.2:8000", "--direct",
@@ -31,20 +31,20 @@
         EXPECT_EQ(options.engines.front(), (Target { "127.0.2.1", 9000 }));
         EXPECT_EQ(options.accounts.front(), (Account { "club", "secret" }));
         EXPECT_DOUBLE_EQ(options.rate, 2.5);
-        EXPECT_EQ(options.promptTokensLeast, 10U);
-        EXPECT_EQ(options.promptTokensMost, 90U);
+        EXPECT_EQ(options.minPromptTokens, 10U);
+        EXPECT_EQ(options.maxPromptTokens, 90U);
         EXPECT_FALSE(options.stream);
     }
 
-    TEST(Options, FindAllThatIsWrong)
+    TEST(Options, ReportsEveryInvalidOption)
     {
         Findings findings;
         (void)parse({ "--router", "nowhere", "--rate", "0", "--stream", "perhaps", "--seed", "-1" }, findings);
-        // One for each option, and that no target is left.
+        // One finding per option, and one for the missing target.
         EXPECT_EQ(findings.size(), 5U);
     }
 
-    TEST(Options, NeedATarget)
+    TEST(Options, RequiresATarget)
     {
         Findings findings;
         (void)parse({ "--rate", "3" }, findings);
--- a/tests/load/PercentilesTest.cpp
+++ b/tests/load/PercentilesTest.cpp
@@ -5,9 +5,9 @@
 namespace swiftlift::load {
 namespace {
 
-    TEST(Percentiles, OfNothingAreZero)
+    TEST(Percentiles, AreZeroWithoutValues)
     {
-        const Percentiles none = percentilesOf({});
+        const Percentiles none = computePercentiles({});
         EXPECT_EQ(none.count, 0U);
         EXPECT_EQ(none.p99, 0);
     }
@@ -18,7 +18,7 @@
         for (int value = 200; value >= 1; --value) {
             values.push_back(value);
         }
-        const Percentiles percentiles = percentilesOf(values);
+        const Percentiles percentiles = computePercentiles(values);
         EXPECT_EQ(percentiles.count, 200U);
         EXPECT_EQ(percentiles.p50, 100);
         EXPECT_EQ(percentiles.p95, 190);
@@ -29,7 +29,7 @@
 
     TEST(Percentiles, OfOneValueAreThatValue)
     {
-        const Percentiles percentiles = percentilesOf({ 7 });
+        const Percentiles percentiles = computePercentiles({ 7 });
         EXPECT_EQ(percentiles.p50, 7);
         EXPECT_EQ(percentiles.p99, 7);
     }
--- a/tests/load/ScheduleTest.cpp
+++ b/tests/load/ScheduleTest.cpp
@@ -9,7 +9,7 @@
 namespace swiftlift::load {
 namespace {
 
-    [[nodiscard]] Options sample()
+    [[nodiscard]] Options sampleOptions()
     {
         Options options;
         options.routers = { { "127.0.0.1", 8000 }, { "127.0.0.2", 8000 } };
@@ -18,8 +18,8 @@
         options.service = "plans";
         options.rate = 50;
         options.duration = std::chrono::seconds(20);
-        options.promptTokensLeast = 10;
-        options.promptTokensMost = 300;
+        options.minPromptTokens = 10;
+        options.maxPromptTokens = 300;
         options.sharedPrefixShare = 0.5;
         options.nonIdempotentShare = 0.2;
         return options;
@@ -27,7 +27,7 @@
 
     TEST(Schedule, IsTheSameForTheSameSeed)
     {
-        Options options = sample();
+        Options options = sampleOptions();
         const auto one = makeSchedule(options);
         const auto same = makeSchedule(options);
         options.seed = 2;
@@ -40,38 +40,38 @@
         EXPECT_NE(one.front().due, other.front().due);
     }
 
-    TEST(Schedule, KeepsToTheRateAndIsInOrder)
+    TEST(Schedule, MatchesTheRateAndIsSortedByTime)
     {
-        const auto schedule = makeSchedule(sample());
-        // 1,000 arrivals with a twin each; five standard deviations either way.
+        const auto schedule = makeSchedule(sampleOptions());
+        // 1,000 pairs of requests are expected; the tolerance is five standard deviations.
         EXPECT_NEAR(static_cast<double>(schedule.size()), 2000, 2 * 160);
         for (std::size_t index = 1; index < schedule.size(); ++index) {
             EXPECT_LE(schedule[index - 1].due, schedule[index].due);
         }
     }
 
-    TEST(Schedule, PoisonousArrivalsAskForTheSame)
+    TEST(Schedule, PoisonArrivalsShareOnePrompt)
     {
-        Options options = sample();
-        options.poisonEvery = 10;
+        Options options = sampleOptions();
+        options.poisonInterval = 10;
         std::set<std::string> prompts;
-        std::size_t poisonous = 0;
+        std::size_t poisonCount = 0;
         for (const Arrival& arrival : makeSchedule(options)) {
-            poisonous += arrival.poison ? 1 : 0;
+            poisonCount += arrival.poison ? 1 : 0;
             if (arrival.poison) {
-                prompts.insert(promptOf(arrival, options.seed));
+                prompts.insert(makePrompt(arrival, options.seed));
             }
         }
-        EXPECT_GT(poisonous, 100U);
+        EXPECT_GT(poisonCount, 100U);
         ASSERT_EQ(prompts.size(), 1U);
         EXPECT_TRUE(prompts.begin()->starts_with("poison"));
     }
 
-    TEST(Schedule, GivesEachArrivalATwinOfTheSameSize)
+    TEST(Schedule, PairsEachArrivalWithATwinOfTheSameSize)
     {
         std::map<std::uint64_t, std::vector<Arrival>> pairs;
         int directFirst = 0;
-        for (const Arrival& arrival : makeSchedule(sample())) {
+        for (const Arrival& arrival : makeSchedule(sampleOptions())) {
             pairs[arrival.pair].push_back(arrival);
         }
         for (const auto& [pair, arms] : pairs) {
@@ -79,8 +79,8 @@
             EXPECT_NE(arms[0].direct, arms[1].direct);
             EXPECT_EQ(arms[0].promptTokens, arms[1].promptTokens);
             EXPECT_EQ(arms[0].prefix, arms[1].prefix);
-            EXPECT_EQ(promptOf(arms[0], 1).size(), promptOf(arms[1], 1).size());
-            EXPECT_NE(promptOf(arms[0], 1), promptOf(arms[1], 1));
+            EXPECT_EQ(makePrompt(arms[0], 1).size(), makePrompt(arms[1], 1).size());
+            EXPECT_NE(makePrompt(arms[0], 1), makePrompt(arms[1], 1));
             directFirst += arms[0].direct ? 1 : 0;
         }
         const auto half = static_cast<int>(pairs.size() / 2);
@@ -89,7 +89,7 @@
 
     TEST(Schedule, WithoutEnginesHasOneArm)
     {
-        Options options = sample();
+        Options options = sampleOptions();
         options.engines.clear();
         for (const Arrival& arrival : makeSchedule(options)) {
             EXPECT_FALSE(arrival.direct);
@@ -98,7 +98,7 @@
 
     TEST(Schedule, DoesNotCountTheWarmUp)
     {
-        Options options = sample();
+        Options options = sampleOptions();
         options.warmUp = std::chrono::seconds(5);
         for (const Arrival& arrival : makeSchedule(options)) {
             if (arrival.due < options.warmUp) {
@@ -107,7 +107,7 @@
         }
     }
 
-    TEST(Prompt, HasFourBytesATokenAndTheCommonPrefixInFront)
+    TEST(Prompt, HasFourBytesPerTokenAndStartsWithTheCommonPrefix)
     {
         Arrival first;
         first.pair = 1;
@@ -115,11 +115,11 @@
         first.prefix = 3;
         Arrival second = first;
         second.pair = 2;
-        const std::string one = promptOf(first, 1);
-        const std::string other = promptOf(second, 1);
-        constexpr std::size_t recognised = 256;
+        const std::string one = makePrompt(first, 1);
+        const std::string other = makePrompt(second, 1);
+        constexpr std::size_t prefixBytesComparedByEngine = 256;
         EXPECT_EQ(one.size(), 800U);
-        EXPECT_EQ(one.substr(0, recognised), other.substr(0, recognised));
+        EXPECT_EQ(one.substr(0, prefixBytesComparedByEngine), other.substr(0, prefixBytesComparedByEngine));
         EXPECT_NE(one, other);
     }
 
--- a/tests/load/SummaryTest.cpp
+++ b/tests/load/SummaryTest.cpp
@@ -13,13 +13,14 @@
 
     using namespace std::chrono_literals;
 
-    [[nodiscard]] Result resultOf(std::uint64_t pair, bool direct, Kind kind, std::chrono::milliseconds firstToken)
+    [[nodiscard]] Result makeResult(
+        std::uint64_t pair, bool direct, ResultKind kind, std::chrono::milliseconds firstToken)
     {
         Result result;
         result.arrival.pair = pair;
         result.arrival.direct = direct;
         result.kind = kind;
-        result.reason = kind == Kind::Answered ? "" : "because";
+        result.reason = kind == ResultKind::Answered ? "" : "because";
         result.firstToken = firstToken;
         result.whole = firstToken + 20ms;
         result.gaps = { 10ms, 10ms };
@@ -27,12 +28,12 @@
         return result;
     }
 
-    TEST(Summary, TakesDifferencesOfPairsOnly)
+    TEST(Summary, ComputesDifferencesOfAnsweredPairsOnly)
     {
-        const Summary summary
-            = summarise({ resultOf(1, false, Kind::Answered, 30ms), resultOf(1, true, Kind::Answered, 28ms),
-                resultOf(2, false, Kind::Answered, 90ms), resultOf(2, true, Kind::Refused, 0ms),
-                resultOf(3, false, Kind::Unknown, 40ms), resultOf(3, true, Kind::Answered, 40ms) });
+        const Summary summary = summarise(
+            { makeResult(1, false, ResultKind::Answered, 30ms), makeResult(1, true, ResultKind::Answered, 28ms),
+                makeResult(2, false, ResultKind::Answered, 90ms), makeResult(2, true, ResultKind::Refused, 0ms),
+                makeResult(3, false, ResultKind::Unknown, 40ms), makeResult(3, true, ResultKind::Answered, 40ms) });
         EXPECT_EQ(summary.added.pairs, 1U);
         EXPECT_DOUBLE_EQ(summary.added.firstToken.p50, 2);
         EXPECT_DOUBLE_EQ(summary.added.betweenTokens.p50, 0);
@@ -41,11 +42,11 @@
         EXPECT_EQ(summary.direct.refused.at("because"), 1U);
     }
 
-    TEST(Summary, CountsErrorsAndTheWarmUpForNoAnswers)
+    TEST(Summary, ExcludesErrorsAndWarmUpFromAnswers)
     {
-        Result early = resultOf(1, false, Kind::Answered, 30ms);
+        Result early = makeResult(1, false, ResultKind::Answered, 30ms);
         early.arrival.counted = false;
-        const Summary summary = summarise({ early, resultOf(2, false, Kind::Error, 500ms) });
+        const Summary summary = summarise({ early, makeResult(2, false, ResultKind::Error, 500ms) });
         EXPECT_EQ(summary.routed.sent, 1U);
         EXPECT_EQ(summary.routed.answered, 0U);
         EXPECT_EQ(summary.routed.errors.at("because"), 1U);
@@ -53,7 +54,7 @@
         EXPECT_EQ(summary.routed.tokens, 0U);
     }
 
-    TEST(Summary, ReadsItsOwnProcess)
+    TEST(Summary, ReadsUsageOfTheTestProcess)
     {
         const auto readings = readProcesses({ getpid() });
         ASSERT_TRUE(readings[0].found);
@@ -63,11 +64,11 @@
         EXPECT_FALSE(readProcess(-1).found);
     }
 
-    TEST(Report, SaysTheSameAsTableAndAsJson)
+    TEST(Report, WritesTheSameFiguresAsTableAndJson)
     {
         Options options;
-        const Summary summary
-            = summarise({ resultOf(1, false, Kind::Answered, 30ms), resultOf(1, true, Kind::Answered, 28ms) });
+        const Summary summary = summarise(
+            { makeResult(1, false, ResultKind::Answered, 30ms), makeResult(1, true, ResultKind::Answered, 28ms) });
         std::ostringstream table;
         writeTable(table, summary);
         EXPECT_NE(table.str().find("routed: sent 1, answered 1"), std::string::npos);
