--- a/apps/load/Options.cpp
+++ b/apps/load/Options.cpp
@@ -44,6 +44,7 @@
 
 namespace {
 
+    /** Upper bound for numbers of tokens and prefixes, and for the poison interval. */
     constexpr std::uint32_t maxCount = 1'000'000;
     /** Arrivals per second. */
     constexpr double maxRate = 100'000;
