--- a/tests/experiment/Experiment.cpp
+++ b/tests/experiment/Experiment.cpp
@@ -15,11 +15,11 @@
     constexpr std::int64_t answerTokens = 20;
     constexpr std::int64_t requestCost = promptTokens + answerTokens;
     constexpr std::uint64_t microsecondsPerSecond = 1'000'000;
-    constexpr std::size_t largeAccounts = 2;
+    constexpr std::size_t largeAccountCount = 2;
 
     [[nodiscard]] std::string accountName(std::size_t index) { return "account" + std::to_string(index); }
 
-    /** One run: load, failure, and the auditor's book. */
+    /** @brief One run: sends the load, applies the failure, and compares the replies with the ledger. */
     class Run {
     public:
         Run(const Shape& shape, const Failure& failure, const Policy& policy, std::uint64_t seed)
@@ -32,12 +32,12 @@
             build(policy);
         }
 
-        [[nodiscard]] Result go()
+        [[nodiscard]] Result execute()
         {
             const node::testing::Traffic before = fleet_.traffic;
             for (int second = 0; second < shape_.seconds; ++second) {
-                failure_.at(fleet_, second);
-                loadFor(second);
+                failure_.apply(fleet_, second);
+                sendLoadDuring(second);
             }
             const node::testing::Traffic after = fleet_.traffic;
             fleet_.heal();
@@ -54,7 +54,7 @@
         }
 
     private:
-        struct Sent {
+        struct SentRequest {
             std::size_t account = 0;
             std::string id;
         };
@@ -69,19 +69,19 @@
             for (std::size_t account = 0; account < shape_.accounts; ++account) {
                 names.push_back(accountName(account));
                 fleet_.openAccount(names.back());
-                const double share = account < largeAccounts
-                    ? 0.5 / largeAccounts
-                    : 0.5 / static_cast<double>(shape_.accounts - largeAccounts);
-                const double tokens = requests * share * static_cast<double>(requestCost) * shape_.bought;
-                bought_.push_back(std::llround(tokens));
-                fleet_.topUp(names.back(), bought_.back());
+                const double share = account < largeAccountCount
+                    ? 0.5 / largeAccountCount
+                    : 0.5 / static_cast<double>(shape_.accounts - largeAccountCount);
+                const double tokens = requests * share * static_cast<double>(requestCost) * shape_.boughtShare;
+                boughtTokens_.push_back(std::llround(tokens));
+                fleet_.topUp(names.back(), boughtTokens_.back());
             }
-            spent_.resize(shape_.accounts);
+            spentTokens_.resize(shape_.accounts);
             fleet_.publish(node::testing::plansDocument(names, policy.weighting));
             fleet_.run(std::chrono::seconds(3));
         }
 
-        void loadFor(int second)
+        void sendLoadDuring(int second)
         {
             std::exponential_distribution<double> gap(shape_.rate);
             std::uint64_t offset = 0;
@@ -90,27 +90,27 @@
                 if (offset >= microsecondsPerSecond) {
                     break;
                 }
-                runTo(second, offset);
-                sendOne();
+                runUntil(second, offset);
+                sendRandomRequest();
             }
-            runTo(second, microsecondsPerSecond);
+            runUntil(second, microsecondsPerSecond);
         }
 
-        void runTo(int second, std::uint64_t microseconds)
+        void runUntil(int second, std::uint64_t microseconds)
         {
             const Instant target = start_ + std::chrono::seconds(second) + Duration(microseconds);
             fleet_.run(std::max(target - fleet_.now(), Duration {}));
         }
 
-        void sendOne()
+        void sendRandomRequest()
         {
             std::uniform_int_distribution<std::size_t> anyVm(0, shape_.vms.size() - 1);
-            std::uniform_int_distribution<std::size_t> anySmall(largeAccounts, shape_.accounts - 1);
-            std::uniform_int_distribution<std::size_t> anyLarge(0, largeAccounts - 1);
-            std::bernoulli_distribution large(0.5);
+            std::uniform_int_distribution<std::size_t> anySmall(largeAccountCount, shape_.accounts - 1);
+            std::uniform_int_distribution<std::size_t> anyLarge(0, largeAccountCount - 1);
+            std::bernoulli_distribution chooseLarge(0.5);
             std::size_t vm = anyVm(random_);
-            const std::size_t account = large(random_) ? anyLarge(random_) : anySmall(random_);
-            // The platform's balancer knows a dead VM.
+            const std::size_t account = chooseLarge(random_) ? anyLarge(random_) : anySmall(random_);
+            // The platform's load balancer sends no requests to a crashed VM.
             while (!fleet_.running(vm)) {
                 vm = anyVm(random_);
             }
@@ -119,24 +119,24 @@
             request.id = "r" + std::to_string(result_.sent++);
             request.promptTokens = promptTokens;
             request.maxAnswerTokens = answerTokens;
-            // The reply may come before send() returns.
-            arriving_ = { account, request.id };
+            // onReply() may be called before send() returns the call id.
+            requestBeingSent_ = { account, request.id };
             const CallId call = fleet_.send(vm, request);
-            sent_[call] = arriving_;
+            sentRequests_[call] = requestBeingSent_;
         }
 
         void onReply(const node::Reply& reply)
         {
-            const auto found = sent_.find(reply.call);
-            const Sent& sent = found == sent_.end() ? arriving_ : found->second;
+            const auto found = sentRequests_.find(reply.call);
+            const SentRequest& sent = found == sentRequests_.end() ? requestBeingSent_ : found->second;
             if (reply.outcome == node::Outcome::Answered) {
                 ++result_.answered;
-                spent_[sent.account] += reply.billed.value();
-                answered_.push_back(sent);
+                spentTokens_[sent.account] += reply.billed.value();
+                answeredRequests_.push_back(sent);
             } else if (reply.outcome == node::Outcome::Unknown) {
                 ++result_.unknown;
             } else if (reply.status == 402) {
-                const bool covered = bought_[sent.account] - spent_[sent.account] >= requestCost;
+                const bool covered = boughtTokens_[sent.account] - spentTokens_[sent.account] >= requestCost;
                 ++(covered ? result_.falseRefusals : result_.trueRefusals);
             } else {
                 ++result_.otherRefusals;
@@ -148,12 +148,12 @@
             const ledger::Fold fold = fleet_.auditedLedger();
             for (std::size_t account = 0; account < shape_.accounts; ++account) {
                 const auto view = *fold.budget({ AccountId { accountName(account) }, BudgetId { "main" } });
-                const std::int64_t billed = std::max(view.billed.value(), spent_[account]);
-                result_.overspend += std::max<std::int64_t>(billed - bought_[account], 0);
+                const std::int64_t billed = std::max(view.billed.value(), spentTokens_[account]);
+                result_.overspend += std::max<std::int64_t>(billed - boughtTokens_[account], 0);
                 result_.stranded += (view.held - view.billed).value();
-                if (spent_[account] > view.billed.value()) {
+                if (spentTokens_[account] > view.billed.value()) {
                     result_.unbilled
-                        += static_cast<std::uint64_t>((spent_[account] - view.billed.value()) / requestCost);
+                        += static_cast<std::uint64_t>((spentTokens_[account] - view.billed.value()) / requestCost);
                 }
             }
         }
@@ -163,11 +163,11 @@
         FakeFleet fleet_;
         std::mt19937_64 random_;
         Instant start_ = Instant {} + std::chrono::seconds(3);
-        std::vector<std::int64_t> bought_;
-        std::vector<std::int64_t> spent_;
-        std::map<CallId, Sent> sent_;
-        Sent arriving_;
-        std::vector<Sent> answered_;
+        std::vector<std::int64_t> boughtTokens_;
+        std::vector<std::int64_t> spentTokens_;
+        std::map<CallId, SentRequest> sentRequests_;
+        SentRequest requestBeingSent_;
+        std::vector<SentRequest> answeredRequests_;
         Result result_;
     };
 
@@ -175,7 +175,7 @@
 
 Result runExperiment(const Shape& shape, const Failure& failure, const Policy& policy, std::uint64_t seed)
 {
-    return Run(shape, failure, policy, seed).go();
+    return Run(shape, failure, policy, seed).execute();
 }
 
 } // namespace swiftlift::experiment
--- a/tests/experiment/Main.cpp
+++ b/tests/experiment/Main.cpp
@@ -13,8 +13,8 @@
 using swiftlift::experiment::Shape;
 using swiftlift::node::testing::FakeFleet;
 
-constexpr int failFrom = 30;
-constexpr int failTo = 90;
+constexpr int failureStartSecond = 30;
+constexpr int failureEndSecond = 90;
 
 std::vector<Shape> shapes()
 {
@@ -25,12 +25,13 @@
     };
 }
 
-void isolate(FakeFleet& fleet, std::size_t from, std::size_t to)
+/** @brief Disconnects the VMs firstVm to endVm - 1 from the log and from all other VMs. */
+void isolate(FakeFleet& fleet, std::size_t firstVm, std::size_t endVm)
 {
-    for (std::size_t inside = from; inside < to; ++inside) {
+    for (std::size_t inside = firstVm; inside < endVm; ++inside) {
         fleet.cutFromLog(inside);
         for (std::size_t outside = 0; outside < fleet.size(); ++outside) {
-            if (outside < from || outside >= to) {
+            if (outside < firstVm || outside >= endVm) {
                 fleet.cut(inside, outside);
             }
         }
@@ -43,21 +44,24 @@
         { "none", [](FakeFleet&, int) {} },
         { "domain a cut off, 60 s",
             [](FakeFleet& fleet, int second) {
-                if (second == failFrom) {
+                if (second == failureStartSecond) {
                     isolate(fleet, 0, 2);
-                } else if (second == failTo) {
+                } else if (second == failureEndSecond) {
                     fleet.heal();
                 }
             } },
         { "platform out, 60 s",
-            [](FakeFleet& fleet, int second) { fleet.log.outage = second >= failFrom && second < failTo; } },
+            [](FakeFleet& fleet, int second) {
+                fleet.log.outage = second >= failureStartSecond && second < failureEndSecond;
+            } },
         { "a VM dies each 20 s",
             [](FakeFleet& fleet, int second) {
                 constexpr int period = 20;
-                if (second >= failFrom && second < failTo && second % period == failFrom % period) {
+                if (second >= failureStartSecond && second < failureEndSecond
+                    && second % period == failureStartSecond % period) {
                     fleet.crash(static_cast<std::size_t>(second / period) % fleet.size());
                 }
-                if (second == failTo) {
+                if (second == failureEndSecond) {
                     for (std::size_t vm = 0; vm < fleet.size(); ++vm) {
                         if (!fleet.running(vm)) {
                             fleet.replace(vm);
@@ -67,27 +71,27 @@
             } },
         { "the last VM cut off, 60 s",
             [](FakeFleet& fleet, int second) {
-                if (second == failFrom) {
+                if (second == failureStartSecond) {
                     isolate(fleet, fleet.size() - 1, fleet.size());
-                } else if (second == failTo) {
+                } else if (second == failureEndSecond) {
                     fleet.heal();
                 }
             } },
         { "the last VM dies, a new one after 60 s",
             [](FakeFleet& fleet, int second) {
-                if (second == failFrom) {
+                if (second == failureStartSecond) {
                     fleet.crash(fleet.size() - 1);
-                } else if (second == failTo) {
+                } else if (second == failureEndSecond) {
                     fleet.replace(fleet.size() - 1);
                 }
             } },
         { "platform out, and a VM dies",
             [](FakeFleet& fleet, int second) {
-                fleet.log.outage = second >= failFrom && second < failTo;
-                if (second == failFrom + 10) {
+                fleet.log.outage = second >= failureStartSecond && second < failureEndSecond;
+                if (second == failureStartSecond + 10) {
                     fleet.crash(0);
                 }
-                if (second == failTo) {
+                if (second == failureEndSecond) {
                     fleet.replace(0);
                 }
             } },
@@ -118,18 +122,18 @@
 int main(int argc, char** argv)
 {
     std::uint64_t seed = 1;
-    std::string only;
+    std::string policyFilter;
     const option options[]
         = { { "seed", required_argument, nullptr, 's' }, { "policy", required_argument, nullptr, 'p' },
               { "help", no_argument, nullptr, 'h' }, { nullptr, 0, nullptr, 0 } };
-    for (int chosen = 0; (chosen = getopt_long(argc, argv, "", options, nullptr)) != -1;) {
-        if (chosen == 's') {
+    for (int optionCode = 0; (optionCode = getopt_long(argc, argv, "", options, nullptr)) != -1;) {
+        if (optionCode == 's') {
             seed = std::strtoull(optarg, nullptr, 10);
-        } else if (chosen == 'p') {
-            only = optarg;
+        } else if (optionCode == 'p') {
+            policyFilter = optarg;
         } else {
             usage(argv[0]);
-            return chosen == 'h' ? 0 : 2;
+            return optionCode == 'h' ? 0 : 2;
         }
     }
     std::printf("| shape | failure | policy | sent | answered | false refusals | true refusals | other | unknown | "
@@ -138,7 +142,7 @@
     for (const auto& shape : shapes()) {
         for (const auto& failure : failures()) {
             for (const auto& policy : policies()) {
-                if (policy.name.find(only) == std::string::npos) {
+                if (policy.name.find(policyFilter) == std::string::npos) {
                     continue;
                 }
                 const auto result = swiftlift::experiment::runExperiment(shape, failure, policy, seed);
