--- a/apps/router/CoreDecider.cpp
+++ b/apps/router/CoreDecider.cpp
@@ -23,16 +23,17 @@
 
 namespace {
 
-    /** Time after which the platform's entry no longer sends callers to a router that reports not ready: the entry
-     * polls readiness once a second and stops after two failed polls. */
-    constexpr Duration entryDetectionTime = std::chrono::milliseconds(2500);
+    /** Time after which the platform's load balancer no longer sends callers to a router that reports not ready: the
+     * load balancer polls readiness once a second and stops after two failed polls. */
+    constexpr Duration loadBalancerDetectionTime = std::chrono::milliseconds(2500);
     /** Pause between two reads of other routers' ledger records. No request waits for these reads: a holder reads back
      * its own draws, and a witness the records that it is asked about, without this pause. The pause reduces the reads
      * from nine to three a second. A message that a budget is short of tokens is still read within the 400 ms for which
      * the holder that sent it waits for an answer. */
     constexpr Duration ledgerReadPause = std::chrono::milliseconds(300);
     /** Time for which ledger items are collected before they are copied to the witness. No caller waits for a copy in
-     * the platform's dialect. If a router crashes, its bills of up to this time are lost when its grant is closed. */
+     * the platform's dialect. If a router crashes, its bills of up to this time that are not yet in the log are lost.
+     * Witnesses only seal its grants, so the tokens of the lost bills stay held there and are not spent twice. */
     constexpr Duration copyPeriod = std::chrono::milliseconds(250);
     /** Number of checkpoint intervals in the log's retention. The newest checkpoint then stays younger than the
      * retention even if several routers in succession fail to write theirs. */
@@ -53,7 +54,7 @@
         core.ledger.readPause = ledgerReadPause;
         core.ledger.copyPeriod = copyPeriod;
         core.ledger.keysRemembered = maxBillKeys;
-        core.stopAcceptance = entryDetectionTime;
+        core.stopAcceptance = loadBalancerDetectionTime;
     }
 
 } // namespace
--- a/include/swiftlift/node/Core.h
+++ b/include/swiftlift/node/Core.h
@@ -68,7 +68,8 @@
     std::shared_ptr<const fleet::FleetCodec> fleetCodec;
     /** Limit on the retries of proxied requests. */
     routing::RetryBound retries;
-    /** How long new requests are still accepted after a stop was requested, until the platform's entry has noticed. */
+    /** How long new requests are still accepted after a stop was requested, until the platform's load balancer has
+     * noticed. */
     Duration stopAcceptance {};
 
     /** @return Whether the end of an answer is sent to the caller only once its bill is durable (LEDGER.md, S15). */
--- a/include/swiftlift/node/ProxyRequest.h
+++ b/include/swiftlift/node/ProxyRequest.h
@@ -116,7 +116,7 @@
     CallId call;
 };
 
-/** Action: report whether the platform's entry may send callers to this VM. */
+/** Action: report whether the platform's load balancer may send callers to this VM. */
 struct AnnounceReadiness {
     bool ready = false;
     /** The process is about to end: each caller's connection closes after its current answer. */
--- a/src/config/ConfigFold.cpp
+++ b/src/config/ConfigFold.cpp
@@ -83,9 +83,8 @@
     if (!parsed.readable || parsed.record.rules_version() <= rulesVersion) {
         return true;
     }
-    return refuseRecord("record at offset " + std::to_string(offset.value()) + " has rules version "
-        + std::to_string(parsed.record.rules_version()) + ", latest supported version is "
-        + std::to_string(rulesVersion));
+    return refuseRecord("record " + std::to_string(offset.value()) + " has rules version "
+        + std::to_string(parsed.record.rules_version()) + ", known versions are 1 to " + std::to_string(rulesVersion));
 }
 
 bool ConfigFold::refuseRecord(std::string reason)
--- a/src/node/Gateway.cpp
+++ b/src/node/Gateway.cpp
@@ -100,10 +100,11 @@
 
 void Gateway::on(const ProxyRequestArrived& event)
 {
-    // Requests are accepted for a while after a stop was requested: the platform's entry takes 1 to 2 s to notice the
-    // stop, and the callers it sends until then would be refused without need.
+    // Requests are accepted for a while after a stop was requested: the platform's load balancer takes 1 to 2 s to
+    // notice the stop, and the callers that it sends until then would be refused without need.
     if (closing()) {
-        proxyRequests_.refuseImmediately(event.call, event.facts, "stopping", "this VM is leaving");
+        proxyRequests_.refuseImmediately(
+            event.call, event.facts, "stopping", "this VM is stopping: send the request to another VM");
         return;
     }
     if (std::string reason = reasonNotReady(); !reason.empty()) {
--- a/tests/ledger/HolderTest.cpp
+++ b/tests/ledger/HolderTest.cpp
@@ -297,7 +297,7 @@
     const auto view = fold.budget(budget);
     ASSERT_TRUE(view);
     EXPECT_LT(view->held, tokens(2'000'000)) << "20,000 tokens a second are asked for";
-    EXPECT_GT(served, 15) << "once the witness is known to be silent, grants name nobody as witness";
+    EXPECT_GT(served, 15) << "once the witness is known to be silent, new grants name no witness";
 }
 
 // Failure: after an outage a hundred callers each wait 600 ms and are refused. A draw queues behind the bills of the
--- a/tests/node/GatewayTest.cpp
+++ b/tests/node/GatewayTest.cpp
@@ -356,9 +356,9 @@
         EXPECT_EQ(states, std::set<std::string> { "sealed" }) << "only tokens above the ceiling may be freed";
     }
 
-    // Guards against needless refusals at a planned stop: the platform's entry continues to send callers for two
-    // seconds, and the stopping router can still serve them.
-    TEST_F(GatewayTest, StoppingRouterAcceptsRequestsUntilTheEntryHasNoticed)
+    // Guards against needless refusals at a planned stop: the platform's load balancer continues to send callers for
+    // two seconds, and the stopping router can still serve them.
+    TEST_F(GatewayTest, StoppingRouterAcceptsRequestsUntilTheLoadBalancerHasNoticed)
     {
         world.handle(StopRequested {});
         EXPECT_FALSE(world.ready());
